--- a/cmd/coralrelay/serve.go
+++ b/cmd/coralrelay/serve.go
@@ -121,7 +121,7 @@
 	n.watcher = discovery.New(n.cfg.Discovery, n.updater)
 	clock := dispatch.NewClock()
 	n.watcher.Now = clock.Now
-	n.watcher.Dial = n.pool.DialPlain
+	n.watcher.Dial = n.pool.DialUntil
 	n.pool.ListStatus = n.watcher.Status
 	n.watcher.OnLease = func(status listlease.Status) { n.eventLoop.UpdateListLease(status.ExpiresAt) }
 	n.eventLoop, err = dispatch.New(clock, n.cfg.Seed, n.cfg.Settings, n.pool, n.watcher)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -182,12 +182,12 @@
 	if connectDeadline := time.Now().Add(timeout); timeout > 0 && connectDeadline.Before(deadline) {
 		deadline = connectDeadline
 	}
-	return p.DialPlain(ctx, addr, deadline)
+	return p.DialUntil(ctx, addr, deadline)
 }
 
-// DialPlain connects before the deadline. Where this process has run out of descriptors, idle probe
-// connections make way.
-func (p *Pool) DialPlain(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
+// DialUntil connects before the deadline. If the process has run out of descriptors, it closes the
+// idle probe connections and tries again.
+func (p *Pool) DialUntil(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	conn, err := p.Dial(ctx, addr, deadline)
 	if neterr.IsExhausted(err) && p.CloseIdleProbeConns() > 0 {
 		return p.Dial(ctx, addr, deadline)
