--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,59 +13,63 @@
 )
 
 const (
-	// heartbeatInterval is how often the service writes something on a watch. A watch that is
-	// silent for heartbeatTimeout is broken: a service that is cut off gives no other sign. A
-	// heartbeat may be late by a quarter. Changes count as known 6 s after they were made;
-	// what is left of that is for two complete calls and for the backoff of whoever decides
-	// when to poll: docs/notes/lists.md has the sum.
+	// heartbeatInterval is how often the discovery service writes something on a watch. A watch
+	// that stays silent for heartbeatTimeout counts as broken, as a service that has been cut off
+	// gives no other sign; heartbeatTimeout allows for a heartbeat that is late by a quarter of the
+	// interval. A change counts as known to this node 6 s after it was made. The time that remains
+	// after heartbeatTimeout has to suffice for two complete calls and for the backoff between
+	// polls: docs/notes/lists.md has the calculation.
 	heartbeatInterval = 2 * time.Second
 	heartbeatTimeout  = heartbeatInterval + heartbeatInterval/4
-	// responseTimeout limits a dial, and the time from a response's or list's beginning until
-	// the next call is made beside it. A connection request that is resent after a second is
-	// established within it.
+	// responseTimeout limits a dial. It also limits the time from the start of a call, or from the
+	// first byte of its list, until the next call is started in parallel. A connection whose first
+	// SYN is lost and is resent after a second is established within it.
 	responseTimeout = 1100 * time.Millisecond
-	// queueTimeout limits the time until the response's header has come, until the next call is made
-	// beside it. The service handles one call at a time and itself ends the others (protocol page): as
-	// long as it lets them wait, 1 s at one known site and 3 s at another, nothing is won by going to
-	// the end of its queue. No setting says how long.
+	// queueTimeout limits the time until the response header arrives; after it the next call is
+	// started in parallel. The service handles one call at a time and, by its protocol, itself
+	// ends the calls that have waited too long: after 1 s at one known site and after 3 s at
+	// another; no setting tells the limit. Before that, a new call gains nothing, as it would join
+	// the end of the queue.
 	queueTimeout = 3100 * time.Millisecond
-	// minHeaderTimeout limits the time until the response's header has come, where a longer one does not follow from the
-	// number of instances: a call keeps its place in the queue that long, while another one is made beside it.
+	// minHeaderTimeout is the least time that a call waits for the response header; a large number
+	// of instances makes it longer. The call keeps its place in the service's queue for that time,
+	// while another call runs in parallel.
 	minHeaderTimeout = 7 * time.Second
-	// slowestCall is what one call costs the slowest service known.
-	slowestCall = 27 * time.Millisecond
-	// maxMessageBytes is the largest message that is read.
+	// maxCallServiceTime is the time that the slowest known service spends on one call.
+	maxCallServiceTime = 27 * time.Millisecond
+	// maxMessageBytes is the size of the largest message that is accepted.
 	maxMessageBytes = 8 << 20
 )
 
-// call is one call to the service, and the watch that it may become.
+// call is one call to the discovery service. A successful call continues as a watch.
 type call struct {
-	number         int // from 1, for log lines
+	number         int // from 1, in log lines
 	addr           string
 	fromGeneration int64
-	begunAt        time.Time
+	startedAt      time.Time
 	headerTimeout  time.Duration
 	events         chan<- event
 
 	// The fields below belong to the goroutine of Watcher.Run.
-	cancel          context.CancelFunc
-	reason          callReason
-	reached         progress         // how far it came
-	headerAt        time.Time        // when its header came
-	listDeadline    time.Time        // for its first list, if that has one
-	overdue         <-chan time.Time // when it is reported as failed though it goes on; nil for never
-	failureReported bool             // it was overdue, or has failed
-	watching        bool             // the list is up to date by it: its first list, or a heartbeat instead, has come
+	cancel           context.CancelFunc
+	reason           callReason
+	reached          progress         // the furthest progress so far
+	headerReceivedAt time.Time        // when the response header arrived
+	listDeadline     time.Time        // for the first list; zero unless reason.hasListDeadline
+	overdue          <-chan time.Time // fires when the call becomes overdue; nil for never
+	failureReported  bool             // the call was reported as overdue or failed
+	watching         bool             // a list, or a heartbeat that confirms the current one, has arrived
 }
 
-// callReason is why a call is made. It decides for how long its list is awaited.
+// callReason is the reason for a call. It determines how long the call may take to deliver its
+// list.
 type callReason int
 
 const (
-	reasonStart          callReason = iota // the process starts: there is time for a second call
-	reasonWatchEnded                       // the time since then counts
+	reasonStart          callReason = iota // the process has started; there is time for a second call
+	reasonWatchEnded                       // the time for the list counts from the call's start
 	reasonAddressChanged                   // the same
-	reasonCallFailed                       // the service may have just come back, and have a queue
+	reasonCallFailed                       // the service may just have recovered, and have a queue
 	reasonCount
 )
 
@@ -73,19 +77,20 @@
 
 func (r callReason) String() string { return reasonNames[r] }
 
-// hasListDeadline reports whether the time until the first list counts from the call's begin.
+// hasListDeadline reports whether the time allowed for the first list counts from the start of the
+// call.
 func (r callReason) hasListDeadline() bool { return r == reasonWatchEnded || r == reasonAddressChanged }
 
-// progress is how far a call has come.
+// progress is the stage that a call has reached.
 type progress int
 
 const (
-	progressNone      progress = iota // it was begun
-	progressConnected                 // its connection is up
-	progressHeader                    // the header has come: a message need not follow, as nothing may change
-	progressFirstByte                 // the first byte of the first message
-	progressHeartbeat                 // an empty line: all changes before it have come
-	progressMessage                   // a complete message, the first or a later one
+	progressNone      progress = iota // the call has started
+	progressConnected                 // the connection is established
+	progressHeader                    // the response header has arrived; a message need not follow
+	progressFirstByte                 // the first byte of the first message has arrived
+	progressHeartbeat                 // an empty line has arrived; all earlier changes came before it
+	progressMessage                   // a complete message has arrived, the first or a later one
 	progressCount
 )
 
@@ -93,20 +98,21 @@
 
 func (p progress) String() string { return progressNames[p] }
 
-// event is what a call reports: its progress, a message, or its end, which has an error.
+// event is what a call reports to the Watcher: progress, a message, or its end, which carries an
+// error.
 type event struct {
 	call     *call
-	at       time.Time // when it came; of a message, when its first byte came
+	at       time.Time // when it arrived; for a message, when its first byte arrived
 	progress progress
-	date     time.Time // of the header, zero if it has none
+	date     time.Time // the Date of the response header; zero if it has none
 	update   Update
 	err      error
 }
 
 var (
-	errOverdue         = errors.New("overdue: no response, or an incomplete list")
-	errOlderList       = errors.New("changes to a list older than the one held")
-	errMessageTooLarge = fmt.Errorf("message of more than %d bytes", maxMessageBytes)
+	errOverdue         = errors.New("overdue: no response header, or an incomplete list")
+	errOutdatedChanges = errors.New("changes have an older generation than the current list")
+	errMessageTooLarge = fmt.Errorf("message exceeds %d bytes", maxMessageBytes)
 )
 
 func dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
@@ -114,61 +120,64 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// dialFunc connects to an address by a deadline.
+// dialFunc connects to an address before the deadline.
 type dialFunc func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 
-// headerTimeout is how long the header of a call may take while so many instances call: as long as a slow service needs
-// to serve them all. Whoever goes sooner loses its place, and its call may cost the service its time all the same.
+// headerTimeout returns how long a call waits for its response header when the given number of
+// instances call the service: the time that a slow service needs to serve them all. A call that is
+// abandoned sooner loses its place in the queue, and the service may spend the time on it
+// regardless.
 func headerTimeout(instances int) time.Duration {
-	return max(minHeaderTimeout, time.Duration(instances)*slowestCall)
+	return max(minHeaderTimeout, time.Duration(instances)*maxCallServiceTime)
 }
 
-// run makes the call and reports its events, the last of which has an error, until ctx ends.
+// run makes the call and sends its events, the last of which has an error, until ctx ends.
 func (c *call) run(ctx context.Context, dial dialFunc) {
 	err := c.stream(ctx, dial)
 	c.send(ctx, event{call: c, err: fmt.Errorf("watch: %w", err)})
 }
 
-// send reports an event, unless ctx has ended.
-func (c *call) send(ctx context.Context, reported event) {
+// send sends an event to the Watcher, unless ctx has ended.
+func (c *call) send(ctx context.Context, ev event) {
 	select {
-	case c.events <- reported:
+	case c.events <- ev:
 	case <-ctx.Done():
 	}
 }
 
-// report reports progress that was made just now.
-func (c *call) report(ctx context.Context, made progress) {
-	c.send(ctx, event{call: c, at: time.Now(), progress: made})
+// reportProgress sends the progress that the call has just made.
+func (c *call) reportProgress(ctx context.Context, reached progress) {
+	c.send(ctx, event{call: c, at: time.Now(), progress: reached})
 }
 
-// stream makes the call and reports its progress and messages until it ends. Its error is a *callError.
+// stream makes the call and sends its progress and messages until it ends. The returned error is a
+// *callError.
 func (c *call) stream(ctx context.Context, dial dialFunc) error {
-	conn, err := dial(ctx, c.addr, c.begunAt.Add(responseTimeout))
+	conn, err := dial(ctx, c.addr, c.startedAt.Add(responseTimeout))
 	if err != nil {
 		return newDialError(err)
 	}
-	c.report(ctx, progressConnected)
-	watched := &heartbeatConn{Conn: conn}
-	buffered := bufconn.New(watched)
+	c.reportProgress(ctx, progressConnected)
+	monitored := &heartbeatConn{Conn: conn}
+	buffered := bufconn.New(monitored)
 	defer buffered.Release()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	body, date, err := c.sendRequest(buffered, c.begunAt.Add(c.headerTimeout))
+	body, date, err := c.sendRequest(buffered, c.startedAt.Add(c.headerTimeout))
 	if err != nil {
 		return newHeaderError(err)
 	}
-	watched.headerReceived = true
+	monitored.headerReceived = true
 	c.send(ctx, event{call: c, at: time.Now(), progress: progressHeader, date: date})
 	return c.readMessages(ctx, body)
 }
 
-// readMessages reports the messages and heartbeats of the response's body until it ends.
+// readMessages sends the messages and heartbeats of the response body until the body ends.
 func (c *call) readMessages(ctx context.Context, body io.Reader) error {
 	reader := &messageReader{
 		body:        body,
-		onFirstByte: func() { c.report(ctx, progressFirstByte) },
-		onHeartbeat: func() { c.report(ctx, progressHeartbeat) },
+		onFirstByte: func() { c.reportProgress(ctx, progressFirstByte) },
+		onHeartbeat: func() { c.reportProgress(ctx, progressHeartbeat) },
 	}
 	decoder := json.NewDecoder(reader)
 	for {
@@ -181,6 +190,6 @@
 		if err != nil {
 			return newMessageError(err)
 		}
-		c.send(ctx, event{call: c, at: reader.messageBegunAt, progress: progressMessage, update: update})
+		c.send(ctx, event{call: c, at: reader.messageStartedAt, progress: progressMessage, update: update})
 	}
 }
--- a/internal/discovery/callerror.go
+++ b/internal/discovery/callerror.go
@@ -11,7 +11,7 @@
 	"coralrelay/internal/listlease"
 )
 
-// callError is why a call has ended, by what that says of the service.
+// callError is the error that has ended a call, with what it tells about the discovery service.
 type callError struct {
 	outcome listlease.Outcome
 	err     error
@@ -20,11 +20,11 @@
 func (e *callError) Error() string { return e.err.Error() }
 func (e *callError) Unwrap() error { return e.err }
 
-// outcomeOf is how the call has ended, by its error.
+// outcomeOf returns the outcome of a call that ended with err.
 func (c *call) outcomeOf(err error) listlease.Outcome {
 	outcome := listlease.Reset
-	if failed := (*callError)(nil); errors.As(err, &failed) {
-		outcome = failed.outcome
+	if callErr := (*callError)(nil); errors.As(err, &callErr) {
+		outcome = callErr.outcome
 	}
 	switch {
 	case !c.watching || outcome == listlease.Spoilt:
@@ -35,7 +35,7 @@
 	return listlease.WatchEnded
 }
 
-// failureOf is what the end of a call says of how busy the service is.
+// failureOf returns what the end of a call tells about the load of the discovery service.
 func failureOf(call listlease.Call) balance.ListFailure {
 	switch {
 	case call.WaitedInVain():
@@ -46,26 +46,26 @@
 	return balance.CallFailed
 }
 
-// newDialError is the error of a call whose connection did not come up. Any error of this machine, such as that it
-// has no route, says nothing of the service.
+// newDialError returns the error of a call whose connection was not established. Local errors, such
+// as a missing route, tell nothing about the service.
 func newDialError(err error) error {
-	timeout := net.Error(nil)
+	netErr := net.Error(nil)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return &callError{listlease.ConnectRefused, err}
 	case errors.Is(err, syscall.ECONNRESET):
 		return &callError{listlease.Reset, err}
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return &callError{listlease.ConnectTimedOut, err}
 	}
 	return &callError{listlease.NotMade, err}
 }
 
-// newHeaderError is the error of a call of which no usable header has come.
+// newHeaderError returns the error of a call that has received no usable response header.
 func newHeaderError(err error) error {
-	status := (*statusError)(nil)
+	statusErr := (*statusError)(nil)
 	switch {
-	case errors.As(err, &status):
+	case errors.As(err, &statusErr):
 		return &callError{listlease.Unavailable, err}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &callError{listlease.Unanswered, err}
@@ -73,10 +73,12 @@
 	return &callError{listlease.Reset, err}
 }
 
-// newMessageError is the error of a call whose header has come.
+// newMessageError returns the error of a call that has received a response header.
 func newMessageError(err error) error {
-	syntax, wrongType, spoilt := (*json.SyntaxError)(nil), (*json.UnmarshalTypeError)(nil), (*messageError)(nil)
-	if errors.As(err, &syntax) || errors.As(err, &wrongType) || errors.As(err, &spoilt) || errors.Is(err, errMessageTooLarge) {
+	syntaxErr, typeErr, messageErr := (*json.SyntaxError)(nil), (*json.UnmarshalTypeError)(nil),
+		(*messageError)(nil)
+	if errors.As(err, &syntaxErr) || errors.As(err, &typeErr) || errors.As(err, &messageErr) ||
+		errors.Is(err, errMessageTooLarge) {
 		return &callError{listlease.Spoilt, err}
 	}
 	return &callError{listlease.Incomplete, err}
--- a/internal/discovery/callerror_test.go
+++ b/internal/discovery/callerror_test.go
@@ -13,9 +13,9 @@
 	"coralrelay/internal/listlease"
 )
 
-// Of a connection that does not come up only what the network says counts as the service's: that nobody listens, or
-// silence. What this machine fails at says nothing of it.
-func TestDialErrorsByWhoIsAtFault(t *testing.T) {
+// A failed dial counts against the service only if the network gave the reason: the connection was
+// refused or reset, or it timed out. Local errors tell nothing about the service.
+func TestNewDialErrorOutcomes(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancel()
 	_, deadlinePassed := (&net.Dialer{}).DialContext(expired, "tcp", "127.0.0.1:1")
@@ -38,9 +38,9 @@
 		if errno := syscall.Errno(0); errors.As(err, &errno) {
 			wrapped = &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		failed := (*callError)(nil)
-		if !errors.As(newDialError(wrapped), &failed) || failed.outcome != want {
-			t.Errorf("%v: %v, want %v", wrapped, failed.outcome, want)
+		callErr := (*callError)(nil)
+		if !errors.As(newDialError(wrapped), &callErr) || callErr.outcome != want {
+			t.Errorf("%v: %v, want %v", wrapped, callErr.outcome, want)
 		}
 	}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,8 +1,6 @@
-// Package discovery follows the endpoint list of the discovery service and decodes its
-// messages.
+// Package discovery follows the endpoint list of the discovery service and decodes its messages.
 //
-// A Watcher owns one goroutine, Run, and one for each call to the service, at most two at a
-// time. All end with Run's context, and Run returns only after its calls have ended. Failures of
-// a call are logged and reported to the Sink as an update of kind ListFailed; only Decode
-// returns errors.
+// A Watcher runs one goroutine, Run, and one for each call to the service, at most two at a time.
+// All end with Run's context, and Run returns only after its calls have ended. A failed call is
+// logged and reported to the Sink as an update of kind ListFailed; only Decode returns errors.
 package discovery
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -10,40 +10,41 @@
 	"coralrelay/internal/listlease"
 )
 
-// firstHeartbeatAfter is how long after a response's header an empty line may be taken for a heartbeat where no
-// message has come: before it, it may belong to a list that follows.
-const firstHeartbeatAfter = heartbeatInterval / 2
+// minFirstHeartbeatDelay is the time after a response header from which an empty line counts as a
+// heartbeat although no message has arrived yet. An earlier empty line may belong to a list that
+// follows.
+const minFirstHeartbeatDelay = heartbeatInterval / 2
 
-// handleEvent handles an event of a call, unless the call was cancelled since.
-func (w *Watcher) handleEvent(reported event) {
-	if !slices.Contains(w.calls, reported.call) {
+// handleEvent handles an event of a call. Events of calls that have been cancelled are ignored.
+func (w *Watcher) handleEvent(ev event) {
+	if !slices.Contains(w.calls, ev.call) {
 		return
 	}
-	c := reported.call
-	if reported.err != nil {
-		w.endCall(c, reported.err)
+	c := ev.call
+	if ev.err != nil {
+		w.endCall(c, ev.err)
 		return
 	}
-	c.reached = max(c.reached, reported.progress)
-	switch reported.progress {
+	c.reached = max(c.reached, ev.progress)
+	switch ev.progress {
 	case progressConnected:
 		w.lease.Connected()
 	case progressHeader:
-		c.overdue, c.headerAt = nil, reported.at
-		if !reported.date.IsZero() {
-			w.starts.skew.observeDate(w.Now(), reported.date)
+		c.overdue, c.headerReceivedAt = nil, ev.at
+		if !ev.date.IsZero() {
+			w.startTimes.skew.observeDate(w.Now(), ev.date)
 		}
 	case progressFirstByte:
-		w.expectWholeMessage(c)
+		w.setFirstMessageDeadline(c)
 	case progressHeartbeat:
-		w.handleHeartbeat(c, reported.at)
+		w.handleHeartbeat(c, ev.at)
 	case progressMessage:
-		w.handleMessage(c, reported)
+		w.handleMessage(c, ev)
 	}
 }
 
-// expectWholeMessage sets when a call is overdue whose first message has begun.
-func (w *Watcher) expectWholeMessage(c *call) {
+// setFirstMessageDeadline sets when a call whose first message has begun to arrive becomes overdue.
+func (w *Watcher) setFirstMessageDeadline(c *call) {
 	switch {
 	case c.watching:
 	case c.reason.hasListDeadline():
@@ -53,66 +54,67 @@
 	}
 }
 
-// handleHeartbeat takes an empty line: all changes before it have come. Where no message has come yet, nothing has
-// changed since the generation that was polled from.
+// handleHeartbeat handles an empty line, which confirms that all earlier changes have arrived. If
+// no message has arrived on the call yet, nothing has changed since the generation that the call
+// polled from.
 func (w *Watcher) handleHeartbeat(c *call, at time.Time) {
 	if !c.watching {
-		isOfList := c.fromGeneration > 0 && c.fromGeneration == w.lastGeneration
-		if !isOfList || at.Sub(c.headerAt) < firstHeartbeatAfter {
+		polledCurrentList := c.fromGeneration > 0 && c.fromGeneration == w.lastGeneration
+		if !polledCurrentList || at.Sub(c.headerReceivedAt) < minFirstHeartbeatDelay {
 			return
 		}
-		w.becomeWatch(c)
+		w.promoteToWatch(c)
 	}
 	w.confirmList(at)
 }
 
-// handleMessage takes a complete list, or changes to it. Changes to a list that is older than the one held are
-// dropped, and their call ends.
-func (w *Watcher) handleMessage(c *call, reported event) {
-	update := reported.update
+// handleMessage handles a complete list or changes to it. Changes with an older generation than the
+// current list's are dropped, and their call ends.
+func (w *Watcher) handleMessage(c *call, ev event) {
+	update := ev.update
 	if update.Generation < w.lastGeneration {
 		slog.Warn("endpoint list went back", w.describe(c, "offered_generation", update.Generation,
 			"reset", update.Kind == balance.ListFull)...)
 		if update.Kind != balance.ListFull {
-			w.endCall(c, &callError{listlease.Spoilt, errOlderList})
+			w.endCall(c, &callError{listlease.Spoilt, errOutdatedChanges})
 			return
 		}
 	}
-	w.starts.convert(w.Now(), &update, c.watching)
-	w.becomeWatch(c)
+	w.startTimes.convert(w.Now(), &update, c.watching)
+	w.promoteToWatch(c)
 	w.lastGeneration = update.Generation
 	w.needsFullList = w.needsFullList && update.Kind != balance.ListFull
 	w.sink.UpdateEndpoints(update)
-	w.confirmList(reported.at)
+	w.confirmList(ev.at)
 }
 
-// becomeWatch marks the call as the one whose watch is followed; the others end.
-func (w *Watcher) becomeWatch(c *call) {
-	w.cancelAllBut(c)
+// promoteToWatch makes the call the watch that is followed, and cancels the other calls.
+func (w *Watcher) promoteToWatch(c *call) {
+	w.cancelCallsExcept(c)
 	c.overdue, c.failureReported, c.watching = nil, false, true
 	w.nextReason = reasonWatchEnded
 }
 
-// endCall ends a call, and reports it as a failure unless that was done.
+// endCall removes a call that has ended, and reports its failure unless it was reported before.
 func (w *Watcher) endCall(c *call, err error) {
 	c.cancel()
 	w.calls = slices.DeleteFunc(w.calls, func(other *call) bool { return other == c })
 	outcome := c.outcomeOf(err)
 	w.needsFullList = w.needsFullList || outcome == listlease.Spoilt
 	w.countCall(outcome)
-	ended := listlease.Call{BegunAt: c.begunAt, EndedAt: time.Now(), Outcome: outcome}
+	ended := listlease.Call{BegunAt: c.startedAt, EndedAt: time.Now(), Outcome: outcome}
 	w.lease.CallEnded(ended)
 	w.publishLease()
 	if c.failureReported {
-		slog.Info("endpoint list call ended after it was overdue", w.describe(c, "outcome", outcome.String(), "error", err)...)
+		slog.Info("overdue endpoint list call ended", w.describe(c, "outcome", outcome.String(), "error", err)...)
 		return
 	}
 	w.reportFailure(c, outcome.String(), err, failureOf(ended))
 }
 
-// reportFailure reports that a call has failed, once for each call. Whoever receives the report
-// decides when to poll again; a poll that was requested before is void, or two calls would follow
-// one another without a pause.
+// reportFailure reports that a call has failed, once for each call. The Sink then decides when to
+// poll again. A poll that was requested earlier is discarded, as otherwise two calls would follow
+// each other without a pause.
 func (w *Watcher) reportFailure(c *call, outcome string, err error, failure balance.ListFailure) {
 	c.failureReported = true
 	reconnectReason := audit.ReconnectWatchEnded
@@ -126,7 +128,7 @@
 	w.sink.UpdateEndpoints(Update{Kind: balance.ListFailed, Generation: w.lastGeneration, Failure: failure})
 }
 
-// discardPollRequest voids a requested poll.
+// discardPollRequest discards a pending poll request.
 func (w *Watcher) discardPollRequest() {
 	select {
 	case <-w.pollRequested:
@@ -134,18 +136,19 @@
 	}
 }
 
-// countCall counts a call that has ended.
+// countCall counts a call that has ended with the given outcome.
 func (w *Watcher) countCall(outcome listlease.Outcome) { w.callCounts[outcome].Add(1) }
 
-// CallCount is how many calls have ended in a way. It may be called from any goroutine.
+// CallCount returns how many calls have ended with the given outcome. It may be called from any
+// goroutine.
 func (w *Watcher) CallCount(outcome listlease.Outcome) int64 { return w.callCounts[outcome].Load() }
 
-// describe returns the attributes of a log line about a call: why it was made, how far it came, and the list that
-// the node has meanwhile.
+// describe returns the attributes of a log line about a call: its reason, its progress, and the
+// state of the current list.
 func (w *Watcher) describe(c *call, attributes ...any) []any {
 	now := time.Now()
 	return append([]any{"component", "discovery", "address", c.addr, "call", c.number, "reason", c.reason.String(),
-		"reached", c.reached.String(), "duration_ms", now.Sub(c.begunAt).Milliseconds(),
+		"reached", c.reached.String(), "duration_ms", now.Sub(c.startedAt).Milliseconds(),
 		"from_generation", c.fromGeneration, "generation", w.lastGeneration,
 		"list_age_ms", w.Status().Age(now).Milliseconds()}, attributes...)
 }
--- a/internal/discovery/fakes_test.go
+++ b/internal/discovery/fakes_test.go
@@ -11,19 +11,19 @@
 	"coralrelay/balance"
 )
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+const testTimeout = 10 * time.Second // reached only by a test that fails
 
-// unbufferedSink is a sink that blocks its Watcher at each update until the test takes it.
+// unbufferedSink is a Sink that blocks the Watcher at each update until the test receives it.
 type unbufferedSink chan Update
 
-func (b unbufferedSink) UpdateEndpoints(u Update) { b <- u }
+func (s unbufferedSink) UpdateEndpoints(u Update) { s <- u }
 
-// bufferedSink is a sink that takes updates at once.
+// bufferedSink is a Sink that accepts updates without blocking.
 type bufferedSink chan Update
 
 func (s bufferedSink) UpdateEndpoints(u Update) { s <- u }
 
-// next waits for the next update and fails the test if none comes.
+// next waits for the next update and fails the test if none arrives.
 func (s bufferedSink) next(t *testing.T) Update {
 	t.Helper()
 	select {
@@ -35,7 +35,8 @@
 	}
 }
 
-// startFakeDiscovery starts a service that answers one call after another, each with its function.
+// startFakeDiscovery starts a discovery service that handles its calls one by one, each with its
+// function.
 func startFakeDiscovery(t *testing.T, calls ...func(conn net.Conn, request string)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,15 +57,15 @@
 	return listener.Addr().String()
 }
 
-// runWatcher runs a Watcher with a cached list of generation 41; end ends it.
-func runWatcher(ctx context.Context, watcher *Watcher) (end func()) {
+// runWatcher runs a Watcher with a cached list of generation 41 until stop is called.
+func runWatcher(ctx context.Context, watcher *Watcher) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() { defer close(ended); watcher.Run(ctx, Update{Generation: 41}) }()
 	return func() { cancel(); <-ended }
 }
 
-// startWatcher runs a Watcher of a fake service until the test ends.
+// startWatcher runs a Watcher that follows a fake discovery service until the test ends.
 func startWatcher(t *testing.T, calls ...func(conn net.Conn, request string)) (*Watcher, bufferedSink) {
 	t.Helper()
 	addr := startFakeDiscovery(t, calls...)
@@ -72,17 +73,17 @@
 	watcher := New(addr, sink)
 	t.Cleanup(runWatcher(context.Background(), watcher))
 	if update := sink.next(t); update.Kind != balance.ListCached || update.Generation != 41 {
-		t.Errorf("first came %+v, want the cached list", update)
+		t.Errorf("got first update %+v, want the cached list", update)
 	}
 	return watcher, sink
 }
 
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// writeChunk writes a chunk of a response's body.
+// writeChunk writes a chunk of a response body.
 func writeChunk(conn net.Conn, text string) { fmt.Fprint(conn, chunked(text, "")) }
 
-// chunked is a chunk of a response's body, with an extension that may be empty.
+// chunked returns a chunk of a response body, with a chunk extension, which may be empty.
 func chunked(text string, extension string) string {
 	return fmt.Sprintf("%x%s\r\n%s\r\n", len(text), extension, text)
 }
--- a/internal/discovery/growth_bench_test.go
+++ b/internal/discovery/growth_bench_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// BenchmarkReadList reads a complete list from a watch, as it comes in chunks of 4 kB: its cost may
-// grow with the list.
+// BenchmarkReadList measures how the cost of reading a complete list from a watch grows with the
+// list. The list arrives in chunks of 4 kB.
 func BenchmarkReadList(bm *testing.B) {
 	for _, endpoints := range []int{20, 80, 320, 1280, 3200} {
 		bm.Run(fmt.Sprint(endpoints, "endpoints"), func(bm *testing.B) {
-			text := listText(endpoints)
+			text := listJSON(endpoints)
 			response := responseHead
-			for _, piece := range pieces(text, 4096) {
+			for _, piece := range splitText(text, 4096) {
 				response += chunked(piece, "")
 			}
 			bm.SetBytes(int64(len(text)))
@@ -30,8 +30,8 @@
 	}
 }
 
-// listText is a complete list in discovery's form.
-func listText(endpoints int) string {
+// listJSON returns a complete list in the JSON form of the discovery service.
+func listJSON(endpoints int) string {
 	entries := make([]string, endpoints)
 	for i := range entries {
 		entries[i] = fmt.Sprintf(`{"instanceId":"s-%08x","hostPort":"10.1.%d.%d:7070","zone":"a","machineType":"m2",`+
@@ -40,35 +40,37 @@
 	return `{"generation":41,"reset":true,"instances":[` + strings.Join(entries, ",") + "]}\n"
 }
 
-// pieces cuts a text into pieces of a size.
-func pieces(text string, size int) (list []string) {
+// splitText splits a text into pieces of at most size bytes.
+func splitText(text string, size int) (list []string) {
 	for ; len(text) > size; text = text[size:] {
 		list = append(list, text[:size])
 	}
 	return append(list, text)
 }
 
-// readOneList makes a call that is answered with a response, and returns how many endpoints its first
-// list has.
+// readOneList makes a call that receives the given response, and returns the number of endpoints in
+// its first list, or -1 if the call fails.
 func readOneList(response string) int {
-	near, far := net.Pipe()
-	defer far.Close()
+	watcherSide, serviceSide := net.Pipe()
+	defer serviceSide.Close()
 	go func() {
 		request := make([]byte, 4096)
-		_, _ = far.Read(request)
-		_, _ = far.Write([]byte(response))
+		_, _ = serviceSide.Read(request)
+		_, _ = serviceSide.Write([]byte(response))
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	events := make(chan event)
-	started := &call{addr: "discovery", events: events}
-	go started.run(ctx, func(context.Context, string, time.Time) (net.Conn, error) { return near, nil })
-	for reported := range events {
-		if reported.err != nil {
+	benchCall := &call{addr: "discovery", events: events}
+	go benchCall.run(ctx, func(context.Context, string, time.Time) (net.Conn, error) {
+		return watcherSide, nil
+	})
+	for ev := range events {
+		if ev.err != nil {
 			return -1
 		}
-		if reported.progress == progressMessage {
-			return len(reported.update.Endpoints)
+		if ev.progress == progressMessage {
+			return len(ev.update.Endpoints)
 		}
 	}
 	return -1
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -7,16 +7,17 @@
 	"coralrelay/internal/listlease"
 )
 
-// expiredLogInterval is how often a line says that the list may not be relied on, while that is so.
+// expiredLogInterval is the interval between log lines while the lease of the list is expired.
 const expiredLogInterval = 5 * time.Second
 
-// SetTerms sets what of the settings the list's lease goes by. It may be called from any goroutine.
+// SetTerms sets the settings that determine the lease of the list. It may be called from any
+// goroutine.
 func (w *Watcher) SetTerms(terms listlease.Terms) {
 	w.terms.Store(&terms)
 	signal(w.termsChanged)
 }
 
-// currentTerms are the terms that were set last.
+// currentTerms returns the terms that were set last.
 func (w *Watcher) currentTerms() listlease.Terms {
 	if terms := w.terms.Load(); terms != nil {
 		return *terms
@@ -24,19 +25,19 @@
 	return listlease.Terms{}
 }
 
-// startLease begins the lease of a process that starts with a cached list.
+// startLease starts the lease of a process that begins with a cached list.
 func (w *Watcher) startLease(cached Update) {
 	w.lease = listlease.Start(time.Now(), w.currentTerms(), cached.Generation, len(cached.Endpoints) > 0)
 	w.publishLease()
 }
 
-// confirmList notes that the list in use was the service's at a time.
+// confirmList records that the current list was the discovery service's at the given time.
 func (w *Watcher) confirmList(at time.Time) {
 	w.lease.Confirm(at, w.lastGeneration)
 	w.publishLease()
 }
 
-// publishLease tells everybody what the lease says now.
+// publishLease publishes the current state of the lease and calls OnLease.
 func (w *Watcher) publishLease() {
 	status := w.lease.Status()
 	w.status.Store(&status)
@@ -46,7 +47,8 @@
 	}
 }
 
-// scheduleExpiry sets when the end of the lease is noticed, and says when one has been renewed.
+// scheduleExpiry sets the timer for the end of the lease, and logs that an expired lease has been
+// renewed.
 func (w *Watcher) scheduleExpiry(status listlease.Status) {
 	now := time.Now()
 	if !w.expiredSince.IsZero() && status.MayRely(now) {
@@ -59,11 +61,12 @@
 	}
 }
 
-// logExpired says that the lease has ended, or still has.
+// logExpired logs that the lease has expired, and again at each expiredLogInterval until it is
+// renewed.
 func (w *Watcher) logExpired() {
 	now, status := time.Now(), w.Status()
 	if status.MayRely(now) {
-		return // it was renewed meanwhile, and its timer is set
+		return // renewed in the meantime; the timer is set already
 	}
 	if w.expiredSince.IsZero() {
 		w.expiredSince = status.ExpiresAt
@@ -74,7 +77,7 @@
 	w.expiry.Reset(expiredLogInterval)
 }
 
-// Status is what is known of the list now. It may be called from any goroutine.
+// Status returns the current state of the list. It may be called from any goroutine.
 func (w *Watcher) Status() listlease.Status {
 	if status := w.status.Load(); status != nil {
 		return *status
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -14,18 +14,18 @@
 	"coralrelay/internal/listlease"
 )
 
-// leaseTest is a watcher in exact time, whose calls are answered with texts, each after a pause.
+// leaseTest runs a Watcher in fake time. The test writes the responses to its calls.
 type leaseTest struct {
 	*Watcher
 	t         *testing.T
 	sink      bufferedSink
 	startedAt time.Time
 	conns     chan net.Conn
-	changes   int // of the lease
+	changes   int // calls of OnLease
 }
 
-// testLease runs a test beside a watcher that has a cached list of generation 41.
-func testLease(t *testing.T, run func(l *leaseTest)) {
+// runLeaseTest runs a test against a Watcher that has a cached list of generation 41.
+func runLeaseTest(t *testing.T, run func(l *leaseTest)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &leaseTest{t: t, sink: make(bufferedSink, 64), startedAt: time.Now(), conns: make(chan net.Conn, 16)}
@@ -39,17 +39,17 @@
 			l.conns <- serviceSide
 			return watcherSide, nil
 		}
-		end := runWatcher(t.Context(), l.Watcher)
+		stop := runWatcher(t.Context(), l.Watcher)
 		l.next(balance.ListCached)
 		run(l)
-		end()
+		stop()
 		for len(l.conns) > 0 {
 			(<-l.conns).Close()
 		}
 	})
 }
 
-// poll makes a call and returns the service's side of it.
+// poll requests a call and returns the service's side of its connection.
 func (l *leaseTest) poll() net.Conn {
 	l.Subscribe()
 	conn := <-l.conns
@@ -57,7 +57,7 @@
 	return conn
 }
 
-// next requires an update of a kind.
+// next waits for the next update and requires it to be of the given kind.
 func (l *leaseTest) next(kind balance.ListKind) Update {
 	l.t.Helper()
 	update := <-l.sink
@@ -67,19 +67,19 @@
 	return update
 }
 
-// expectLease requires that the lease ends at a time after the start.
+// expectLease requires that the lease expires at the given time after the start of the test.
 func (l *leaseTest) expectLease(end time.Duration) {
 	l.t.Helper()
 	synctest.Wait()
 	if got := l.Status().ExpiresAt.Sub(l.startedAt); got != end {
-		l.t.Errorf("at %v: the lease ends at %v, want %v", time.Since(l.startedAt), got, end)
+		l.t.Errorf("at %v: the lease expires at %v, want %v", time.Since(l.startedAt), got, end)
 	}
 }
 
-// A list counts from when it began to come, a heartbeat from when it came; what comes of a message that is not complete
-// renews nothing.
+// A list renews the lease from the time at which it began to arrive, a heartbeat from the time at
+// which it arrived. An incomplete message renews nothing.
 func TestLeaseIsRenewedByListsAndHeartbeats(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+	runLeaseTest(t, func(l *leaseTest) {
 		l.expectLease(6 * time.Second)
 		conn := l.poll()
 		time.Sleep(time.Second)
@@ -90,7 +90,7 @@
 		l.expectLease(6 * time.Second)
 		_, _ = io.WriteString(conn, chunked(fullList43[30:], ""))
 		l.next(balance.ListFull)
-		l.expectLease(9 * time.Second) // 6 s from when its end of line came, at 3 s: nothing had changed before that
+		l.expectLease(9 * time.Second) // 6 s after the list's end of line at 3 s, which is a heartbeat
 		time.Sleep(2 * time.Second)
 		_, _ = io.WriteString(conn, chunked("\n", ""))
 		l.expectLease(11 * time.Second)
@@ -98,16 +98,16 @@
 		_, _ = io.WriteString(conn, chunked(`{"generation":44,"reset":false,`, ""))
 		l.expectLease(11 * time.Second)
 		time.Sleep(time.Second)
-		_, _ = io.WriteString(conn, chunked("\n\n\n", "")) // white space in a message is no heartbeat
+		_, _ = io.WriteString(conn, chunked("\n\n\n", "")) // white space inside a message is not a heartbeat
 		l.expectLease(11 * time.Second)
-		l.next(balance.ListFailed) // it stalls
+		l.next(balance.ListFailed) // the message stalls
 		l.expectLease(11 * time.Second)
 	})
 }
 
-// A list without an end of line counts from its first byte.
+// A list without an end of line renews the lease from the time of its first byte.
 func TestLeaseCountsFromTheFirstByteOfAList(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+	runLeaseTest(t, func(l *leaseTest) {
 		conn := l.poll()
 		list := strings.TrimSuffix(fullList43, "\n")
 		_, _ = io.WriteString(conn, responseHead+chunked(list[:30], ""))
@@ -118,10 +118,11 @@
 	})
 }
 
-// Where nothing has changed since the generation that is asked from, heartbeats come and no list: they confirm the
-// list that the process has. An empty line right after the header may belong to a list.
-func TestHeartbeatsConfirmTheListThatIsAskedFrom(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+// If nothing has changed since the polled generation, the service sends heartbeats and no list.
+// They confirm the list that the process has. An empty line right after the header may belong to a
+// list and confirms nothing.
+func TestHeartbeatsConfirmPolledList(t *testing.T) {
+	runLeaseTest(t, func(l *leaseTest) {
 		conn := l.poll()
 		_, _ = io.WriteString(conn, responseHead+chunked("\n", ""))
 		l.expectLease(6 * time.Second)
@@ -134,15 +135,16 @@
 	})
 }
 
-// The new service of a reload is asked for its whole list: heartbeats confirm nothing before that.
+// After the address has changed, the new service is polled for its complete list. Its heartbeats
+// confirm nothing until that list has arrived.
 func TestHeartbeatsOfANewServiceConfirmNothing(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+	runLeaseTest(t, func(l *leaseTest) {
 		time.Sleep(time.Second)
 		l.SetAddress("discovery:2")
 		conn := <-l.conns
-		l.expectLease(5 * time.Second) // 4 s after the reload
+		l.expectLease(5 * time.Second) // 4 s after the address change
 		_, _ = io.WriteString(conn, responseHead)
-		time.Sleep(firstHeartbeatAfter + 50*time.Millisecond) // before the call is overdue
+		time.Sleep(minFirstHeartbeatDelay + 50*time.Millisecond) // before the call is overdue
 		_, _ = io.WriteString(conn, chunked("\n", ""))
 		l.expectLease(5 * time.Second)
 		_, _ = io.WriteString(conn, chunked(fullList43, ""))
@@ -152,10 +154,10 @@
 	})
 }
 
-// Changes to a list that is older than the one held are dropped, renew nothing and end their call. A complete list
-// with a lower generation is taken: the service counts anew.
+// Changes with an older generation than the current list's are dropped, renew nothing and end their
+// call. A complete list with a lower generation is accepted, as the service may restart its count.
 func TestOlderChangesAreDropped(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+	runLeaseTest(t, func(l *leaseTest) {
 		conn := l.poll()
 		time.Sleep(time.Second)
 		_, _ = io.WriteString(conn, responseHead+chunked(`{"generation":40,"reset":false,"instances":[`+readyInstance+`]}`, ""))
@@ -164,7 +166,7 @@
 		}
 		l.expectLease(6 * time.Second)
 		if got := l.CallCount(listlease.Spoilt); got != 1 {
-			t.Errorf("%d calls count as spoilt", got)
+			t.Errorf("%d calls counted as spoilt, want 1", got)
 		}
 		conn = l.poll()
 		_, _ = io.WriteString(conn, responseHead+chunked(strings.Replace(fullList43, "43", "7", 1), ""))
@@ -175,21 +177,21 @@
 	})
 }
 
-// A call that waits for its answer keeps its place while another one is made beside it, and its list counts. There
-// are never more than two.
-func TestStarvedCallKeepsItsPlace(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+// An overdue call keeps its place in the service's queue while another call runs in parallel, and
+// its list is still accepted. At most two calls run at a time.
+func TestOverdueCallKeepsItsPlace(t *testing.T) {
+	runLeaseTest(t, func(l *leaseTest) {
 		first := l.poll()
 		l.next(balance.ListFailed) // overdue
 		if took := time.Since(l.startedAt); took != queueTimeout {
-			t.Errorf("overdue after %v", took)
+			t.Errorf("call overdue after %v", took)
 		}
 		second := l.poll()
 		l.next(balance.ListFailed)
 		l.Subscribe()
 		synctest.Wait()
 		if len(l.conns) > 0 {
-			t.Error("a third call")
+			t.Error("a third call was started")
 		}
 		_, _ = io.WriteString(first, responseHead+chunked(fullList43, ""))
 		l.next(balance.ListFull)
@@ -198,20 +200,20 @@
 	})
 }
 
-// Calls that are never answered end in time for others.
-func TestUnansweredCallsEnd(t *testing.T) {
-	testLease(t, func(l *leaseTest) {
+// Unanswered calls time out, so that later calls can be made.
+func TestUnansweredCallsTimeOut(t *testing.T) {
+	runLeaseTest(t, func(l *leaseTest) {
 		l.poll()
 		l.next(balance.ListFailed)
 		l.poll()
 		l.next(balance.ListFailed)
-		l.Subscribe() // made once one of the two has ended
+		l.Subscribe() // the call starts once one of the two has ended
 		<-l.conns
 		if took := time.Since(l.startedAt); took != minHeaderTimeout {
-			t.Errorf("the third call is made after %v", took)
+			t.Errorf("third call started after %v", took)
 		}
 		if got := l.CallCount(listlease.Unanswered); got != 1 {
-			t.Errorf("%d calls count as unanswered", got)
+			t.Errorf("%d calls counted as unanswered, want 1", got)
 		}
 	})
 }
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -17,22 +17,22 @@
 
 const fullList43 = `{"generation":43,"reset":true,"instances":[` + readyInstance + "]}\n"
 
-// The address changes in the middle of whatever is under way: what the old service has sent by
-// then is all of it that is reported, its end is not a failure, and the new service is polled
-// once, for its complete list.
-func TestAddressChangeReplacesWhateverIsUnderWay(t *testing.T) {
+// The address changes while a call is in any stage. Only the updates that the old service has sent
+// by then are reported, the end of the old call is not reported as a failure, and the new service
+// is polled once, for its complete list.
+func TestAddressChangeReplacesOngoingCall(t *testing.T) {
 	tests := []struct {
 		name       string
 		response   string // what the old service sends before the address changes
 		want       []balance.ListKind
-		beforeCall bool // the address changes between the request for a poll and the call
+		beforeCall bool // the address changes between the poll request and the call
 	}{
-		{"a requested poll, before the call", "", nil, true},
-		{"a call", "", nil, false},
-		{"a header", responseHead[:30], nil, false},
-		{"a list", responseHead + chunked(fullList43[:60], ""), nil, false},
-		{"a line", responseHead + chunked(fullList43+fullList43[:60], ""), []balance.ListKind{balance.ListFull}, false},
-		{"a backoff", "HTTP/1.1 503 Service Unavailable\r\n\r\n", []balance.ListKind{balance.ListFailed}, false},
+		{"poll requested, before the call", "", nil, true},
+		{"call without a response", "", nil, false},
+		{"incomplete header", responseHead[:30], nil, false},
+		{"incomplete list", responseHead + chunked(fullList43[:60], ""), nil, false},
+		{"incomplete second list", responseHead + chunked(fullList43+fullList43[:60], ""), []balance.ListKind{balance.ListFull}, false},
+		{"backoff after a failure", "HTTP/1.1 503 Service Unavailable\r\n\r\n", []balance.ListKind{balance.ListFailed}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			defer runWatcher(t.Context(), watcher)()
 			watcher.Subscribe()
 			if tt.beforeCall {
-				watcher.SetAddress(newAddr) // Run is still blocked at the cached list
+				watcher.SetAddress(newAddr) // Run is still blocked on the cached list
 			}
 			<-sink
 			if !tt.beforeCall {
@@ -73,21 +73,21 @@
 			}
 			for _, want := range []balance.ListKind{balance.ListFull, balance.ListFailed} {
 				if update := <-sink; update.Kind != want || update.Generation != 7 {
-					t.Errorf("got %+v, want the new service's, kind %d", update, want)
+					t.Errorf("got %+v, want kind %d from the new service", update, want)
 				}
 			}
 			if !tt.beforeCall {
 				<-oldCallEnded
 			}
 			if request := <-calls; !strings.Contains(request, "from=0 ") || len(calls) > 0 {
-				t.Errorf("request %q and %d more, want one for the complete list", request, len(calls))
+				t.Errorf("got request %q and %d more, want one for the complete list", request, len(calls))
 			}
 		})
 	}
 }
 
-// A connection that is reset costs the message that is not complete, is reported as one failure,
-// and the next call resumes after the last complete message.
+// A connection reset loses only the incomplete message, is reported as one failure, and the next
+// call resumes after the last complete message.
 func TestConnectionResetResumesAfterLastCompleteList(t *testing.T) {
 	indentedList43 := strings.ReplaceAll(fullList43, ",", ",\n\t")
 	for name, tt := range map[string]struct {
@@ -109,7 +109,7 @@
 			watcher, sink := startWatcher(t, func(conn net.Conn, _ string) {
 				fmt.Fprint(conn, tt.response)
 				if tt.from == "from=43 " {
-					<-listReceived // a reset may take with it what has not been read
+					<-listReceived // a reset may discard data that has not been read
 				}
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				conn.Close()
@@ -126,15 +126,15 @@
 			}
 			watcher.Subscribe()
 			if request := <-requests; !strings.Contains(request, tt.from) {
-				t.Errorf("request %q, want one with %s", request, tt.from)
+				t.Errorf("got request %q, want one with %s", request, tt.from)
 			}
 		})
 	}
 }
 
-// A call that is overdue is reported as failed, and goes on beside the next one, which is made
-// when it is requested. The first complete list wins and the other call ends; a third is not
-// made. A call that sends nothing but heartbeats is not overdue.
+// An overdue call is reported as failed and goes on in parallel with the next call, which starts
+// when it is requested. The first complete list wins, and the other call is cancelled. There is no
+// third call. A call that receives only heartbeats is not overdue.
 func TestOverdueCallCompetesWithItsSuccessor(t *testing.T) {
 	for winner := range 2 {
 		synctest.Test(t, func(t *testing.T) {
@@ -150,7 +150,7 @@
 				go func() { _, _ = io.Copy(io.Discard, reader); closed[i].Store(true) }()
 				return watcherSide, nil
 			}
-			end := runWatcher(t.Context(), watcher)
+			stop := runWatcher(t.Context(), watcher)
 			poll := func(calls int) {
 				t.Helper()
 				watcher.Subscribe()
@@ -176,24 +176,24 @@
 			poll(2) // it is not overdue yet
 			expect(balance.ListFailed, responseTimeout)
 			poll(3)
-			poll(3) // two are the most
+			poll(3) // at most two calls at a time
 			_, _ = io.WriteString(conns[1+winner], responseHead+chunked(strings.Replace(fullList43, "43", "44", 1), ""))
 			expect(balance.ListFull, 0)
 			synctest.Wait()
 			if !closed[2-winner].Load() || closed[1+winner].Load() {
-				t.Errorf("call %d has won, and the other should end", 1+winner)
+				t.Errorf("call %d has won: it should stay open, and the other one should end", 1+winner)
 			}
-			poll(3) // there is a watch
+			poll(3) // a watch is open
 			expect(balance.ListFailed, heartbeatTimeout)
 			poll(4)
 			_, _ = io.WriteString(conns[3], responseHead+chunked("\n", ""))
-			for range 3 { // nothing has changed: only heartbeats, and not overdue
+			for range 3 { // nothing has changed: only heartbeats arrive, and the call is not overdue
 				time.Sleep(heartbeatInterval)
 				poll(4)
 				_, _ = io.WriteString(conns[3], chunked("\n", ""))
 			}
 			expect(balance.ListFailed, heartbeatTimeout)
-			end()
+			stop()
 			for _, c := range conns {
 				c.Close()
 			}
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -11,15 +11,15 @@
 	"coralrelay/internal/bufconn"
 )
 
-// statusError is a response with another status than 200.
+// statusError is the error of a response with a status other than 200.
 type statusError struct{ status string }
 
 func (e *statusError) Error() string {
 	return fmt.Sprintf("unexpected response status %.60q", e.status)
 }
 
-// sendRequest sends the request and reads the response's header until the deadline. It returns
-// the response's body, and the header's date, zero if it has none.
+// sendRequest sends the request and reads the response header before the deadline. It returns the
+// response body and the Date of the header, which is zero if there is none.
 func (c *call) sendRequest(conn *bufconn.Conn, deadline time.Time) (body io.Reader, date time.Time, err error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, date, err
--- a/internal/discovery/skew.go
+++ b/internal/discovery/skew.go
@@ -7,75 +7,80 @@
 )
 
 const (
-	// skewTolerance is how far two readings of the service's clock may differ before the later one is
-	// believed: dates in a header count whole seconds, and answers take their time.
+	// skewTolerance is the greatest difference between two readings of the service's clock for
+	// which the earlier one is kept: the Date of a header counts whole seconds, and responses take
+	// time to arrive.
 	skewTolerance = 3 * time.Second
-	// maxStartDelay is how old a start is at most that a live watch reports: a list is seconds late.
+	// maxStartDelay is the greatest age that an endpoint's start is expected to have when a live
+	// watch reports it: lists arrive seconds late.
 	maxStartDelay = 30 * time.Second
-	// lateStartsNeeded is how many starts must seem older than that, and none younger, until this
-	// process's clock is held to be ahead: single ones may have been kept out of the list for a while.
-	lateStartsNeeded = 3
+	// minLateStarts is how many consecutive starts must seem older than maxStartDelay before the
+	// local clock is taken to be ahead: a single endpoint may have been kept out of the list for a
+	// while.
+	minLateStarts = 3
 )
 
-// clockSkew estimates by how much this process's clock is ahead of the one by which starts are dated: a process may
-// start while its wall clock is wrong. It is 0 until something contradicts that.
+// clockSkew estimates how far the local clock is ahead of the clock that dates the starts of
+// endpoints, as a process may start while its wall clock is wrong. The estimate is 0 until an
+// observation contradicts that.
 //
-// The date of a header is the service's, which may be wrong too. One that makes endpoints younger is believed until it
-// would put a start into the future. One that makes them older could have an endpoint that warms up pass for a warm one,
-// and is believed only once a start lies in this process's own future and is recent by the date.
+// The Date of a response header is read from the service's clock, which may be wrong too. A Date
+// that makes endpoints younger is accepted until it would place a start in the future. A Date that
+// makes endpoints older could end the slow start of an endpoint too early, and is accepted only
+// once a start lies in the future by the local clock and is recent by that Date.
 type clockSkew struct {
-	ahead      time.Duration
-	byDate     bool           // ahead is what a date says
-	dated      *time.Duration // what the latest date says; nil for none
-	lateStarts int            // in a row
-	leastAge   time.Duration  // of these
+	ahead         time.Duration
+	aheadFromDate bool           // ahead was taken from a Date
+	dateAhead     *time.Duration // the skew by the latest Date; nil if there was none
+	lateStarts    int            // consecutive late starts
+	minLateAge    time.Duration  // the least age among the consecutive late starts
 }
 
-// observeDate takes the date of a response's header, which came at now.
+// observeDate takes the Date of a response header that arrived at now.
 func (s *clockSkew) observeDate(now, date time.Time) {
 	ahead := now.Sub(date)
-	s.dated = &ahead
+	s.dateAhead = &ahead
 	if difference := ahead - s.ahead; difference.Abs() > skewTolerance && ahead > -skewTolerance {
-		s.ahead, s.byDate, s.lateStarts = ahead, true, 0
+		s.ahead, s.aheadFromDate, s.lateStarts = ahead, true, 0
 	}
 }
 
-// observeStart takes the start of an endpoint that was reported at now. isNew is set if a live watch
-// has reported a start that was not known.
+// observeStart takes the start of an endpoint that was reported at now. isNew is set if a live
+// watch has reported a start that was not known before.
 func (s *clockSkew) observeStart(now, startedAt time.Time, isNew bool) {
 	age := now.Sub(startedAt) - s.ahead
 	switch {
-	case age < -skewTolerance: // nothing has started after now
+	case age < -skewTolerance: // an endpoint cannot start after now
 		s.correctFuture(now.Sub(startedAt))
 	case !isNew:
 	case age <= maxStartDelay:
 		s.lateStarts = 0
 	default:
-		if s.lateStarts == 0 || age < s.leastAge {
-			s.leastAge = age
+		if s.lateStarts == 0 || age < s.minLateAge {
+			s.minLateAge = age
 		}
-		if s.lateStarts++; s.lateStarts == lateStartsNeeded {
-			s.ahead, s.lateStarts = s.ahead+s.leastAge, 0
+		if s.lateStarts++; s.lateStarts == minLateStarts {
+			s.ahead, s.lateStarts = s.ahead+s.minLateAge, 0
 		}
 	}
 }
 
-// correctFuture corrects the estimate by a start that would lie in the future. age is that start's by this process's
-// clock.
+// correctFuture corrects the estimate by a start that would lie in the future. age is the age of
+// that start by the local clock.
 func (s *clockSkew) correctFuture(age time.Duration) {
-	wasByDate := s.byDate
-	s.byDate, s.lateStarts = false, 0
+	wasFromDate := s.aheadFromDate
+	s.aheadFromDate, s.lateStarts = false, 0
 	switch {
-	case wasByDate && age >= -skewTolerance: // the date is wrong, and this process's clock need not be
+	case wasFromDate && age >= -skewTolerance: // the Date is wrong, and the local clock need not be
 		s.ahead = 0
-	case s.dated != nil && age-*s.dated >= -skewTolerance && age-*s.dated <= maxStartDelay:
-		s.ahead, s.byDate = *s.dated, true
+	case s.dateAhead != nil && age-*s.dateAhead >= -skewTolerance && age-*s.dateAhead <= maxStartDelay:
+		s.ahead, s.aheadFromDate = *s.dateAhead, true
 	default:
 		s.ahead = age
 	}
 }
 
-// toLocal converts a time by the service's clock, since 1970, to this process's clock.
+// toLocal converts a time since 1970, as read from the service's clock, to the local clock.
 func (s *clockSkew) toLocal(startedAt time.Duration) time.Duration {
 	if startedAt <= 0 {
 		return startedAt
@@ -83,35 +88,38 @@
 	return startedAt + s.ahead
 }
 
-// startDates converts the starts of endpoints to this process's clock.
-type startDates struct {
+// startTimeConverter converts the start times of endpoints to the local clock.
+type startTimeConverter struct {
 	skew  clockSkew
-	known map[string]time.Duration // by endpoint, as the service dates them; without those of long ago
+	known map[string]time.Duration // by endpoint ID, in the service's time; without those of 0
 }
 
-// convert converts the starts of a message that came at now. isLive is set if the message is a change on
-// a watch that was up to date before it. What a complete list does not name is forgotten.
-func (d *startDates) convert(now time.Time, update *Update, isLive bool) {
-	before := d.known
+// convert converts the start times of a message that arrived at now. isLive is set if the message
+// is a change on a watch that was up to date before it. Endpoints that a complete list does not
+// name are removed from known.
+func (c *startTimeConverter) convert(now time.Time, update *Update, isLive bool) {
+	knownBefore := c.known
 	if update.Kind != balance.ListDelta {
-		d.known = map[string]time.Duration{}
+		c.known = map[string]time.Duration{}
 	}
 	for i := range update.Endpoints {
-		d.observe(now, &update.Endpoints[i], before, isLive)
+		c.observe(now, &update.Endpoints[i], knownBefore, isLive)
 	}
 	for i := range update.Endpoints {
-		update.Endpoints[i].StartedAt = d.skew.toLocal(update.Endpoints[i].StartedAt)
+		update.Endpoints[i].StartedAt = c.skew.toLocal(update.Endpoints[i].StartedAt)
 	}
 }
 
-// observe learns from the start of one endpoint, beside those that were known before the message.
-func (d *startDates) observe(now time.Time, endpoint *Endpoint, before map[string]time.Duration, isLive bool) {
-	known, isKnown := before[endpoint.ID]
+// observe updates the estimate by the start of one endpoint. knownBefore has the start times that
+// were known before the message.
+func (c *startTimeConverter) observe(now time.Time, endpoint *Endpoint, knownBefore map[string]time.Duration,
+	isLive bool) {
+	known, wasKnown := knownBefore[endpoint.ID]
 	if endpoint.State == balance.Gone || endpoint.StartedAt <= 0 {
-		delete(d.known, endpoint.ID)
+		delete(c.known, endpoint.ID)
 		return
 	}
-	isNew := isLive && (!isKnown || known != endpoint.StartedAt)
-	d.skew.observeStart(now, time.Unix(0, int64(endpoint.StartedAt)), isNew)
-	d.known[endpoint.ID] = endpoint.StartedAt
+	isNew := isLive && (!wasKnown || known != endpoint.StartedAt)
+	c.skew.observeStart(now, time.Unix(0, int64(endpoint.StartedAt)), isNew)
+	c.known[endpoint.ID] = endpoint.StartedAt
 }
--- a/internal/discovery/skew_test.go
+++ b/internal/discovery/skew_test.go
@@ -7,8 +7,9 @@
 	"coralrelay/balance"
 )
 
-// A process's clock that is an hour off either way, or was when it started, is told by the header's date
-// and by starts; one that is right is believed, whatever comes late.
+// A local clock that is an hour off in either direction, or was so when the process started, is
+// corrected by the Date of the header and by the starts of endpoints. A correct clock is kept,
+// however late starts are reported.
 func TestClockSkew(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	date := func(ahead time.Duration) func(*clockSkew) {
@@ -25,7 +26,7 @@
 		{"nothing", nil, 0},
 		{"date of this second", []func(*clockSkew){date(time.Second)}, 0},
 		{"date an hour back", []func(*clockSkew){date(time.Hour)}, time.Hour},
-		{"date an hour ahead, and no start says so", []func(*clockSkew){date(-time.Hour), start(time.Minute, true)}, 0},
+		{"date an hour ahead, and no start confirms it", []func(*clockSkew){date(-time.Hour), start(time.Minute, true)}, 0},
 		{"date an hour ahead, and a start", []func(*clockSkew){date(-time.Hour), start(-time.Hour+7*time.Second, false)}, -time.Hour},
 		{"a start, then a date an hour ahead", []func(*clockSkew){start(-time.Hour+7*time.Second, false), date(-time.Hour)}, -time.Hour + 7*time.Second},
 		{"date an hour back, and a start after it", []func(*clockSkew){date(time.Hour), start(time.Minute, false)}, 0},
@@ -56,7 +57,7 @@
 	}
 }
 
-// Starts are remembered for as long as their endpoint is listed, and no longer.
+// Start times are kept for exactly as long as their endpoint is listed.
 func TestStartsOfUnlistedEndpointsAreForgotten(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	started := func(id string) Endpoint {
@@ -64,7 +65,7 @@
 	}
 	gone := started("s2")
 	gone.State = balance.Gone
-	dates := startDates{known: map[string]time.Duration{}}
+	converter := startTimeConverter{known: map[string]time.Duration{}}
 	for _, step := range []struct {
 		update Update
 		want   int
@@ -74,9 +75,9 @@
 		{Update{Kind: balance.ListDelta, Endpoints: []Endpoint{gone}}, 2},
 		{Update{Kind: balance.ListFull, Endpoints: []Endpoint{started("s3")}}, 1},
 	} {
-		dates.convert(now, &step.update, true)
-		if len(dates.known) != step.want {
-			t.Errorf("%d starts are known after %+v, want %d", len(dates.known), step.update, step.want)
+		converter.convert(now, &step.update, true)
+		if len(converter.known) != step.want {
+			t.Errorf("%d starts are known after %+v, want %d", len(converter.known), step.update, step.want)
 		}
 	}
 }
--- a/internal/discovery/status_test.go
+++ b/internal/discovery/status_test.go
@@ -10,7 +10,8 @@
 	"coralrelay/internal/listlease"
 )
 
-// Whoever looks at a node sees which list it has, when that was last confirmed, and how its calls ended.
+// Status and CallCount show which list a node has, when it was last confirmed, and how its calls
+// ended.
 func TestStatusAndCallCounts(t *testing.T) {
 	watcher, sink := startWatcher(t, func(conn net.Conn, _ string) {
 		fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,7 +12,7 @@
 	headerReceived bool
 }
 
-// Read reads with the deadline of the next heartbeat.
+// Read reads with a deadline of heartbeatTimeout once the response header has been received.
 func (c *heartbeatConn) Read(p []byte) (int, error) {
 	if c.headerReceived {
 		if err := c.SetReadDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
@@ -22,18 +22,19 @@
 	return c.Conn.Read(p)
 }
 
-// messageReader reads a byte at a time, and no more than a message may have. Asked for more bytes, the
-// reader of chunks would wait for the rest of a chunk while it holds a complete list.
+// messageReader reads one byte at a time, and limits the size of a message. If it read more bytes
+// at a time, the chunked reader would wait for the rest of a chunk while it already holds a
+// complete list.
 type messageReader struct {
-	body           io.Reader
-	remaining      int       // bytes that the message may still have
-	inMessage      bool      // the message has begun: white space is a part of it
-	messageBegunAt time.Time // when its first byte came
-	onFirstByte    func()    // called at the first byte of the first message, and then nil
-	onHeartbeat    func()    // called at each end of a line between messages
+	body             io.Reader
+	remaining        int       // bytes that the message may still have
+	inMessage        bool      // the message has begun, so that white space is part of it
+	messageStartedAt time.Time // when the first byte of the message arrived
+	onFirstByte      func()    // called at the first byte of the first message, and then set to nil
+	onHeartbeat      func()    // called at each end of a line between messages
 }
 
-// beginMessage is called before each message is read.
+// beginMessage must be called before each message is read.
 func (r *messageReader) beginMessage() { r.remaining, r.inMessage = maxMessageBytes, false }
 
 // Read reads at most one byte.
@@ -44,16 +45,16 @@
 	n, err := r.body.Read(p[:min(len(p), 1)])
 	r.remaining -= n
 	if n > 0 && !r.inMessage {
-		r.observe(p[0])
+		r.observeByte(p[0])
 	}
 	return n, err
 }
 
-// observe takes a byte between two messages, or the first of one.
-func (r *messageReader) observe(char byte) {
+// observeByte handles a byte between two messages, or the first byte of a message.
+func (r *messageReader) observeByte(char byte) {
 	switch {
 	case char > ' ':
-		r.inMessage, r.messageBegunAt = true, time.Now()
+		r.inMessage, r.messageStartedAt = true, time.Now()
 		if r.onFirstByte != nil {
 			r.onFirstByte()
 			r.onFirstByte = nil
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -16,17 +16,18 @@
 	"coralrelay/balance"
 )
 
-// streamUpdates returns the updates of one response, written in pieces with a pause after each,
-// and when they came. The connection closes after the last piece if closes is set.
+// streamUpdates returns the updates of one response and the times at which they arrived. The
+// response is written in pieces with a pause after each. The connection is closed after the last
+// piece if closes is set.
 func streamUpdates(t *testing.T, pieces []string, pause time.Duration, closes bool) (
 	got []Update, times []time.Duration) {
 	t.Helper()
 	watcherSide, serviceSide := net.Pipe()
 	sink := make(bufferedSink, 64)
 	watcher := New("discovery:1", sink)
-	watcher.Now = func() time.Time { return time.Unix(1796122725, 0).Add(time.Hour) } // after the starts that are listed
+	watcher.Now = func() time.Time { return time.Unix(1796122725, 0).Add(time.Hour) } // after the listed starts
 	watcher.Dial = func(context.Context, string, time.Time) (net.Conn, error) { return watcherSide, nil }
-	end := runWatcher(t.Context(), watcher)
+	stop := runWatcher(t.Context(), watcher)
 	startedAt := time.Now()
 	go func() {
 		if request, _ := bufio.NewReader(serviceSide).ReadString('\n'); !strings.Contains(request, "from=41 ") {
@@ -48,15 +49,15 @@
 	for len(got) == 0 || got[len(got)-1].Kind != balance.ListFailed {
 		got, times = append(got, <-sink), append(times, time.Since(startedAt))
 	}
-	end()
+	stop()
 	serviceSide.Close()
 	return got, times
 }
 
-// A message may be indented, chunks may cut it anywhere, and hold several. Complete messages are
-// reported, in order; an incomplete one costs itself alone, and the next call resumes after the
-// last complete one.
-func TestDecodesStreamHoweverItIsSplit(t *testing.T) {
+// A message may be indented, and chunks may split it anywhere or hold several messages. Complete
+// messages are reported in order. An incomplete message loses only itself, and the next call
+// resumes after the last complete one.
+func TestDecodesStreamSplitAnywhere(t *testing.T) {
 	const fullList = `{"generation":43,"reset":true,"instances":[` + readyInstance + "," + drainingInstance + "]}\n"
 	const removal = `{"generation":44,"reset":false,"instances":[{"instanceId":"s1","lifecycle":"left"},` +
 		`{"instanceId":"never","lifecycle":"left"}]}` + "\n"
@@ -91,10 +92,10 @@
 		{"cut off in a list", []string{responseHead, chunked(fullList, ""), chunked(removal[:50], "")}, 43},
 		{"cut off in a chunk", []string{responseHead, chunked(fullList, ""), chunked(removal, "")[:60]}, 43},
 		{"ended in a list", []string{responseHead, chunked(fullList+removal[:50], "") + "0\r\n\r\n"}, 43},
-		{"another bracket", []string{responseHead, chunked(fullList+strings.Replace(removal, "]", "}", 1), "")}, 43},
-		{"no list", []string{responseHead, chunked(fullList+`{"generation":44,"instances":7}`, "")}, 43},
+		{"mismatched bracket", []string{responseHead, chunked(fullList+strings.Replace(removal, "]", "}", 1), "")}, 43},
+		{"instances is not a list", []string{responseHead, chunked(fullList+`{"generation":44,"instances":7}`, "")}, 43},
 		{"no generation", []string{responseHead, chunked(fullList+`{"instances":[]}`, "")}, 43},
-		{"no chunk", []string{responseHead, chunked(fullList, ""), "zz\r\n" + removal}, 43},
+		{"malformed chunk", []string{responseHead, chunked(fullList, ""), "zz\r\n" + removal}, 43},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -116,7 +117,7 @@
 }
 
 // Each byte keeps a watch alive, wherever in a chunk it is. A complete list is reported when its
-// last byte has come, though its chunk goes on.
+// last byte has arrived, even if its chunk continues.
 func TestEveryByteKeepsWatchAlive(t *testing.T) {
 	const fullList = `{"generation":43,"reset":true,"instances":[` + readyInstance + "]}\n"
 	chunk := chunked(fullList+"\n\n\n", "")
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -10,21 +10,21 @@
 	"coralrelay/balance"
 )
 
-// Endpoint is one entry of the endpoint list, with its address.
+// Endpoint is one entry of the endpoint list and its address.
 type Endpoint struct {
 	balance.ServerEntry
-	Addr string // HOST:PORT; empty in a change that leaves the known address
+	Addr string // HOST:PORT; empty in a change that keeps the known address
 }
 
 // Update is one message of the discovery service: a complete list or changes to it.
 type Update struct {
 	Kind       balance.ListKind
-	Generation int64 // of the list after this update
+	Generation int64 // of the list after this update is applied
 	Endpoints  []Endpoint
-	Failure    balance.ListFailure // of a call that has failed
+	Failure    balance.ListFailure // why the call failed, for the kind ListFailed
 }
 
-// ListUpdate returns the update as the decision module takes it.
+// ListUpdate converts the update to the form that the decision module takes.
 func (u Update) ListUpdate() balance.ListUpdate {
 	list := balance.ListUpdate{Kind: u.Kind, Failure: u.Failure}
 	for _, endpoint := range u.Endpoints {
@@ -33,14 +33,14 @@
 	return list
 }
 
-// message is the JSON form of an update. Reset marks a complete list.
+// message is the JSON form of an update. Reset is set for a complete list.
 type message struct {
 	Generation *int64            `json:"generation"`
 	Reset      bool              `json:"reset"`
 	Instances  []json.RawMessage `json:"instances"`
 }
 
-// messageError is why a message that is well-formed JSON can't be used.
+// messageError is the reason why a message that is well-formed JSON cannot be used.
 type messageError struct{ reason string }
 
 func (e *messageError) Error() string { return "list: " + e.reason }
@@ -61,10 +61,11 @@
 	"left":    balance.Gone,
 }
 
-// Decode reads a message. It fails if the message as a whole is malformed. A malformed entry is logged and must not cost
-// the rest of the list: an endpoint of which the state can't be read counts as draining, and is not used. Of a complete
-// list an entry without an id is skipped, which does the same; among changes it is unknown what has changed, and the
-// message as a whole is malformed.
+// Decode decodes a message. It fails if the message as a whole is malformed. A malformed entry is
+// logged and does not invalidate the rest of the list: an endpoint whose state cannot be read
+// counts as draining and is not used. In a complete list an entry without an ID is skipped, which
+// has the same effect. Among changes such an entry makes the whole message malformed, as it is
+// unknown which endpoint has changed.
 func Decode(raw []byte) (Update, error) {
 	var decoded message
 	if err := json.Unmarshal(raw, &decoded); err != nil {
@@ -76,10 +77,10 @@
 // update converts the message; see Decode.
 func (m *message) update() (Update, error) {
 	if m.Generation == nil {
-		return Update{}, &messageError{"generation is missing"}
+		return Update{}, &messageError{"missing generation"}
 	}
 	if m.Reset && m.Instances == nil {
-		return Update{}, &messageError{"instances is missing"} // not the same as an empty list
+		return Update{}, &messageError{"missing instances"} // unlike an empty list, which is valid
 	}
 	update := Update{Kind: balance.ListDelta, Generation: *m.Generation}
 	if m.Reset {
@@ -91,19 +92,20 @@
 		case err == nil:
 			update.Endpoints = append(update.Endpoints, endpoint)
 		case endpoint.ID == "" && !m.Reset:
-			return Update{}, &messageError{"a change of an endpoint that can't be told: " + err.Error()}
+			return Update{}, &messageError{"change without a readable instanceId: " + err.Error()}
 		case endpoint.ID != "":
-			slog.Warn("endpoint list entry unreadable, endpoint not used", "component", "discovery", "error", err)
+			slog.Warn("malformed endpoint list entry, endpoint not used", "component", "discovery", "error", err)
 			update.Endpoints = append(update.Endpoints, endpoint)
 		default:
-			slog.Warn("endpoint list entry skipped", "component", "discovery", "error", err)
+			slog.Warn("malformed endpoint list entry skipped", "component", "discovery", "error", err)
 		}
 	}
 	return update, nil
 }
 
-// decodeEndpoint reads an entry. Of an endpoint that drains or is gone only the id is needed: the
-// rest may be malformed. With an error comes an endpoint that drains, without an id if that can't be read.
+// decodeEndpoint decodes an entry. For an endpoint that is draining or gone only the ID is needed;
+// the other fields may be malformed. If it fails, it also returns a draining endpoint, whose ID is
+// empty if unreadable.
 func decodeEndpoint(raw json.RawMessage) (Endpoint, error) {
 	var decoded instance
 	decodeErr := json.Unmarshal(raw, &decoded)
@@ -113,13 +115,13 @@
 	case decodeErr != nil && (!ok || state == balance.Ready):
 		return unreadable, fmt.Errorf("entry %.80q: %w", raw, decodeErr)
 	case !ok || decoded.ID == "":
-		return unreadable, fmt.Errorf("entry %.80q: unknown lifecycle or no instanceId", raw)
+		return unreadable, fmt.Errorf("entry %.80q: unknown lifecycle or missing instanceId", raw)
 	}
 	if _, _, err := net.SplitHostPort(decoded.HostPort); err != nil {
 		if state == balance.Ready {
 			return unreadable, fmt.Errorf("entry %s: hostPort: %w", decoded.ID, err)
 		}
-		decoded.HostPort = "" // the known address stays
+		decoded.HostPort = "" // keeps the known address
 	}
 	return Endpoint{
 		Addr: decoded.HostPort,
--- a/internal/discovery/update_test.go
+++ b/internal/discovery/update_test.go
@@ -36,7 +36,7 @@
 	kept := Update{Kind: balance.ListDelta, Generation: 43, Endpoints: []Endpoint{s9, s2}}
 	tests := []struct {
 		name, raw string
-		want      Update // no generation: malformed as a whole
+		want      Update // without a generation: the message as a whole is malformed
 	}{
 		{"complete list",
 			`{"generation":41,"reset":true,"instances":[` + readyInstance + "," + drainingInstance + `]}`,
@@ -52,14 +52,14 @@
 		{"no id among changes", changes(`{"hostPort":"h:1","lifecycle":"active"}`), Update{}},
 		{"no id in a complete list", fullList(`{"hostPort":"h:1","lifecycle":"active"}`), skipped},
 		{"no address", changes(`{"instanceId":"s9","hostPort":"h","lifecycle":"active"}`), kept},
-		{"no object among changes", changes(`7,null,"x"`), Update{}},
-		{"no object in a complete list", fullList(`7,null,"x"`), skipped},
+		{"non-object entries among changes", changes(`7,null,"x"`), Update{}},
+		{"non-object entries in a complete list", fullList(`7,null,"x"`), skipped},
 		{"wrong type", changes(`{"instanceId":"s9","hostPort":"h:1","lifecycle":"active","cell":"x"}`), kept},
-		{"drains, without an address", changes(`{"instanceId":"s9","lifecycle":"leaving"}`), kept},
-		{"drains, wrong type", changes(`{"instanceId":"s9","lifecycle":"leaving","cell":"x"}`), kept},
+		{"draining, without an address", changes(`{"instanceId":"s9","lifecycle":"leaving"}`), kept},
+		{"draining, wrong type", changes(`{"instanceId":"s9","lifecycle":"leaving","cell":"x"}`), kept},
 		{"no generation", `{"instances":[]}`, Update{}},
 		{"complete list without instances", `{"generation":44,"reset":true}`, Update{}},
-		{"no JSON", `{`, Update{}},
+		{"invalid JSON", `{`, Update{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -19,54 +19,56 @@
 	UpdateEndpoints(update Update)
 }
 
-// Watcher follows the endpoint list. It makes one call at a time, each when Subscribe asks for
-// it: a failure is reported, and somebody else decides when to poll again. A call that is overdue
-// is reported as failed but goes on: the next one is made beside it, and the first complete list
-// of the two wins.
+// Watcher follows the endpoint list. It makes a call when Subscribe requests one, normally one at a
+// time. A failed call is reported to the Sink; the Watcher does not retry by itself. A call that is
+// overdue is reported as failed but goes on: the next call runs in parallel, and the first complete
+// list of the two wins.
 type Watcher struct {
-	// Dial connects to an address by a deadline, over TCP unless a test replaces it. Set
-	// before Run.
+	// Dial connects to an address before the deadline, over TCP unless a test replaces it. It must
+	// be set before Run.
 	Dial func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
-	// Now is the clock that the starts of endpoints are converted to. Set before Run.
+	// Now is the clock to which the start times of endpoints are converted. It must be set before
+	// Run.
 	Now func() time.Time
-	// OnLease is called on the goroutine of Run with what the list's lease says, whenever that may have
-	// changed, and after the Sink has the list that it is of. Set before Run; nil for nobody.
+	// OnLease is called on the goroutine of Run whenever the lease of the list may have changed,
+	// after the Sink has received the list that the status describes. It may be nil, and must be
+	// set before Run.
 	OnLease func(status listlease.Status)
 
 	sink           Sink
-	pollRequested  chan struct{} // holds one if a poll is wanted
-	addressChanged chan struct{} // holds one if addr has changed since takeAddress
-	events         chan event    // of calls
+	pollRequested  chan struct{} // holds a value if a poll is requested
+	addressChanged chan struct{} // holds a value if addr has changed since takeAddress
+	events         chan event    // from the calls
 
 	mu   sync.Mutex
 	addr string
 
-	instances    atomic.Int64 // that call the service
+	instances    atomic.Int64 // number of instances that call the service
 	terms        atomic.Pointer[listlease.Terms]
-	termsChanged chan struct{} // holds one if terms has changed
+	termsChanged chan struct{} // holds a value if terms has changed
 	status       atomic.Pointer[listlease.Status]
-	callCounts   [listlease.OutcomeCount]atomic.Int64 // of calls that have ended
+	callCounts   [listlease.OutcomeCount]atomic.Int64 // calls that have ended, by outcome
 
-	// The fields below belong to Run's goroutine.
+	// The fields below belong to the goroutine of Run.
 	lastCall       int        // number of the latest call
-	polledAddr     string     // of the latest call
-	lastGeneration int64      // of the last list from there
-	nextReason     callReason // of the next call
-	needsFullList  bool       // the last message could not be used: changes to the list held may do no better
-	starts         startDates
-	calls          []*call // under way, at most two; all but the last are reported as failed
+	polledAddr     string     // address of the latest call
+	lastGeneration int64      // generation of the latest list from polledAddr
+	nextReason     callReason // reason for the next call
+	needsFullList  bool       // the latest message was unusable; further changes may be so too
+	startTimes     startTimeConverter
+	calls          []*call // ongoing calls, at most two; all but the last have been reported as failed
 	callGroup      sync.WaitGroup
 	lease          *listlease.Lease
-	expiry         *time.Timer // of the lease, and of further lines about it
-	expiredSince   time.Time   // when the lease ended; zero while it lasts, or before that was noticed
+	expiry         *time.Timer // for the end of the lease, and for the log lines after it
+	expiredSince   time.Time   // when the lease expired; zero while it is valid or until expiry is noticed
 }
 
-// New returns a Watcher of the discovery service at addr; Run starts it.
+// New returns a Watcher that follows the discovery service at addr once Run is called.
 func New(addr string, sink Sink) *Watcher {
 	return &Watcher{
 		Dial:           dial,
 		Now:            time.Now,
-		starts:         startDates{known: map[string]time.Duration{}},
+		startTimes:     startTimeConverter{known: map[string]time.Duration{}},
 		sink:           sink,
 		pollRequested:  make(chan struct{}, 1),
 		addressChanged: make(chan struct{}, 1),
@@ -77,14 +79,14 @@
 	}
 }
 
-// Subscribe requests a call, unless one is under way. It returns at once.
+// Subscribe requests a call, unless one is ongoing. It does not block.
 func (w *Watcher) Subscribe() { signal(w.pollRequested) }
 
-// SetInstances sets how many instances call the service, this one among them. It may be called from any goroutine, and
-// counts for the calls that are made from then on.
+// SetInstances sets how many instances call the service, including this one. It applies to calls
+// that start later, and may be called from any goroutine.
 func (w *Watcher) SetInstances(instances int) { w.instances.Store(int64(instances)) }
 
-// signal puts a signal into a channel that holds one.
+// signal sends to a channel of capacity one, unless the channel is full.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -92,8 +94,8 @@
 	}
 }
 
-// SetAddress changes over to the discovery service at addr at once. The list stays; the end of
-// the old watch is not a failure and is not reported.
+// SetAddress switches to the discovery service at addr immediately. The list is kept, and the end
+// of the old watch is not reported as a failure.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,8 +105,8 @@
 	}
 }
 
-// Run makes the calls that are requested until ctx ends. The first update that it reports is the
-// cached list, which may be old.
+// Run makes the requested calls until ctx ends. The first update that it reports is the cached
+// list, which may be out of date.
 func (w *Watcher) Run(ctx context.Context, cached Update) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer w.callGroup.Wait()
@@ -114,10 +116,10 @@
 	w.expiry = time.NewTimer(listlease.NotifyDelay)
 	defer w.expiry.Stop()
 	w.startLease(cached)
-	w.starts.convert(w.Now(), &cached, false)
+	w.startTimes.convert(w.Now(), &cached, false)
 	w.sink.UpdateEndpoints(cached)
 	for {
-		pollRequested, overdue := w.awaited()
+		pollRequested, overdue := w.waitChannels()
 		select {
 		case <-ctx.Done():
 			return
@@ -132,16 +134,16 @@
 			w.publishLease()
 		case <-w.expiry.C:
 			w.logExpired()
-		case reported := <-w.events:
-			w.handleEvent(reported)
+		case ev := <-w.events:
+			w.handleEvent(ev)
 		}
 	}
 }
 
-// awaited returns the channels that Run waits for besides its others: a requested poll, unless a
-// call is under way that is not reported as failed, or two are; and the moment when the last
-// call is overdue. A channel that is nil is not waited for.
-func (w *Watcher) awaited() (pollRequested <-chan struct{}, overdue <-chan time.Time) {
+// waitChannels returns the channels that Run waits for depending on the ongoing calls: the poll
+// requests, unless two calls are ongoing or the latest one has not been reported as failed; and the
+// timer that fires when the latest call becomes overdue. A nil channel is not waited for.
+func (w *Watcher) waitChannels() (pollRequested <-chan struct{}, overdue <-chan time.Time) {
 	if len(w.calls) == 0 {
 		return w.pollRequested, nil
 	}
@@ -149,12 +151,12 @@
 		return nil, last.overdue
 	}
 	if len(w.calls) > 1 {
-		return nil, nil // until one of them ends
+		return nil, nil // wait until one of the calls ends
 	}
 	return w.pollRequested, nil
 }
 
-// takeAddress returns where to poll, and clears the signal that it has changed.
+// takeAddress returns the address to poll, and clears the signal that it has changed.
 func (w *Watcher) takeAddress() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -165,7 +167,7 @@
 	return w.addr
 }
 
-// switchAddress calls the new address, unless a call that is under way is there already.
+// switchAddress starts a call to the new address, unless an ongoing call has that address already.
 func (w *Watcher) switchAddress(ctx context.Context) {
 	addr := w.takeAddress()
 	if slices.ContainsFunc(w.calls, func(c *call) bool { return c.addr == addr }) {
@@ -175,43 +177,43 @@
 	w.startCall(ctx)
 }
 
-// startCall starts a call and ends those to another address.
+// startCall starts a call and cancels calls to another address.
 func (w *Watcher) startCall(ctx context.Context) {
 	if addr := w.takeAddress(); addr != w.polledAddr {
-		// The generations of two services need not be comparable: polled from the old one's,
-		// the new one might leave changes out.
+		// The generations of two services need not be comparable: if the new service were polled
+		// from the generation of the old one, it might omit changes.
 		w.polledAddr, w.lastGeneration, w.nextReason = addr, 0, reasonAddressChanged
 		w.lease.ChangeAddress(time.Now())
 		w.publishLease()
 		audit.Count(audit.ReconnectAddressChanged)
-		w.cancelAllBut(nil)
+		w.cancelCallsExcept(nil)
 	}
 	w.lastCall++
-	started := &call{
+	newCall := &call{
 		number:         w.lastCall,
 		addr:           w.polledAddr,
 		fromGeneration: w.lastGeneration,
-		begunAt:        time.Now(),
+		startedAt:      time.Now(),
 		headerTimeout:  headerTimeout(int(w.instances.Load())),
 		events:         w.events,
 		reason:         w.nextReason,
 	}
 	if w.needsFullList {
-		started.fromGeneration = 0
+		newCall.fromGeneration = 0
 	}
-	ctx, started.cancel = context.WithCancel(ctx)
-	if started.reason.hasListDeadline() {
-		started.listDeadline, started.overdue = started.begunAt.Add(responseTimeout), time.After(responseTimeout)
+	ctx, newCall.cancel = context.WithCancel(ctx)
+	if newCall.reason.hasListDeadline() {
+		newCall.listDeadline, newCall.overdue = newCall.startedAt.Add(responseTimeout), time.After(responseTimeout)
 	} else {
-		started.overdue = time.After(queueTimeout)
+		newCall.overdue = time.After(queueTimeout)
 	}
-	w.calls = append(w.calls, started)
-	slog.Debug("endpoint list call begun", w.describe(started)...)
-	w.callGroup.Go(func() { started.run(ctx, w.Dial) })
+	w.calls = append(w.calls, newCall)
+	slog.Debug("endpoint list call started", w.describe(newCall)...)
+	w.callGroup.Go(func() { newCall.run(ctx, w.Dial) })
 }
 
-// cancelAllBut ends all calls but one, which may be nil.
-func (w *Watcher) cancelAllBut(kept *call) {
+// cancelCallsExcept cancels all calls except kept, which may be nil.
+func (w *Watcher) cancelCallsExcept(kept *call) {
 	w.calls = slices.DeleteFunc(w.calls, func(c *call) bool {
 		if c != kept {
 			c.cancel()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -13,13 +13,13 @@
 	"coralrelay/balance"
 )
 
-// A watch resumes from the last generation that it received; its failures are reported.
+// A new watch resumes from the last received generation, and failures of calls are reported.
 func TestWatchResumesFromLastGeneration(t *testing.T) {
 	requests := make(chan string, 2)
 	watcher, sink := startWatcher(t, func(conn net.Conn, request string) {
 		requests <- request
 		fmt.Fprint(conn, responseHead)
-		writeChunk(conn, `{"generation":43,"reset":true,"inst`) // a message may come in several chunks
+		writeChunk(conn, `{"generation":43,"reset":true,"inst`) // a message may arrive in several chunks
 		writeChunk(conn, `ances":[`+readyInstance+"]}\n\n")
 		writeChunk(conn, "\n")
 		writeChunk(conn, `{"generation":44,"reset":false,"instances":[`+drainingInstance+"]}\n")
@@ -37,19 +37,19 @@
 	}
 	watcher.Subscribe()
 	if update := sink.next(t); update.Kind != balance.ListFailed {
-		t.Errorf("after a 503 came %+v", update)
+		t.Errorf("got %+v after a response with status 503", update)
 	}
 	for _, from := range []string{"from=41 ", "from=44 "} {
 		request := <-requests
 		if !strings.HasPrefix(request, "GET /v1/endpoints?watch=1&") || !strings.Contains(request, from) {
-			t.Errorf("request %q, want one with %s", request, from)
+			t.Errorf("got request %q, want one with %s", request, from)
 		}
 	}
 }
 
-// Another service is followed at once: the old watch is closed, which is not reported as a
-// failure, and the new service is polled for its complete list, as its generations need not be
-// comparable to the old one's.
+// SetAddress switches to the new service immediately: the old watch is closed without being
+// reported as a failure, and the new service is polled for its complete list, as its generations
+// need not be comparable to those of the old service.
 func TestSetAddressPollsNewServiceFromZero(t *testing.T) {
 	oldConnErrors, requests := make(chan error, 1), make(chan string, 1)
 	watcher, sink := startWatcher(t, func(conn net.Conn, _ string) {
@@ -71,16 +71,17 @@
 		t.Errorf("got %+v, want the new list", update)
 	}
 	if request := <-requests; !strings.Contains(request, "from=0 ") {
-		t.Errorf("request %q, want one for the complete list", request)
+		t.Errorf("got request %q, want one for the complete list", request)
 	}
 	if err := <-oldConnErrors; !errors.Is(err, io.EOF) {
-		t.Errorf("the old watch's connection: %v, want its end", err)
+		t.Errorf("connection of the old watch: got %v, want EOF", err)
 	}
 }
 
-// A process whose clock is an hour ahead of the service's, or behind, dates starts by its own clock: by
-// the header's date, or, behind, by a start in its future.
-func TestStartsAreConvertedToThisProcessesClock(t *testing.T) {
+// Start times are converted to the local clock if it is an hour ahead of the service's clock or
+// behind it. The skew is taken from the Date of the header or, for a local clock that is behind,
+// from a start in the future.
+func TestStartTimesAreConvertedToLocalClock(t *testing.T) {
 	const startedAt = 1796122725 * time.Second // of readyInstance
 	serviceNow := time.Unix(0, int64(startedAt)).Add(7 * time.Second)
 	dated := strings.Replace(responseHead, "\r\n\r\n", "\r\nDate: "+serviceNow.UTC().Format(http.TimeFormat)+"\r\n\r\n", 1)
@@ -104,14 +105,14 @@
 		sink := make(bufferedSink, 16)
 		watcher := New(addr, sink)
 		watcher.Now = func() time.Time { return now }
-		end := runWatcher(t.Context(), watcher)
+		stop := runWatcher(t.Context(), watcher)
 		sink.next(t) // the cached list
 		watcher.Subscribe()
 		update := sink.next(t)
 		age := now.Sub(time.Unix(0, int64(update.Endpoints[0].StartedAt)))
 		if age != tt.wantAge {
-			t.Errorf("%s: the endpoint has run for %v, want %v", tt.name, age, tt.wantAge)
+			t.Errorf("%s: the endpoint started %v ago, want %v", tt.name, age, tt.wantAge)
 		}
-		end()
+		stop()
 	}
 }
