--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -19,19 +19,19 @@
 	"coralrelay/internal/proxy"
 )
 
-// writeAllowance is for how long a process may be held up between its clock and a write.
-const writeAllowance = listlease.HoldUp
+// maxWriteDelay is how long the process may be held up between reading its clock and a write.
+const maxWriteDelay = listlease.HoldUp
 
-// attempt is one attempt of a session: a connection, the session's first line on it, and the
+// attempt is one attempt of a session: a connection, the session's first line sent on it, and the
 // endpoint's reply.
 type attempt struct {
 	pool     *Pool
 	session  *proxy.Session
-	endpoint *endpointState // nil if it is not in the list
+	endpoint *endpointState // nil if the endpoint is not in the list
 	deadline time.Time
 }
 
-// attemptResult is how an attempt ended. The outcome counts unless it is established.
+// attemptResult is the result of an attempt. outcome is reported only if established is not set.
 type attemptResult struct {
 	established bool
 	outcome     balance.Outcome
@@ -42,11 +42,11 @@
 	return attemptResult{outcome: outcome, load: balance.EmptyLoadReport}
 }
 
-// StartAttempt starts an attempt for a placement, which must be a *proxy.Session. The attempt
-// ends with the session's context or at the deadline, and is reported to the observer. One that may not
-// begin is reported as not sent.
+// StartAttempt starts an attempt for a placement, which must be a *proxy.Session. The attempt ends
+// with the session's context or at the deadline, and its result is reported to the observer. An
+// attempt that the session refuses is reported as not sent.
 func (p *Pool) StartAttempt(placement dispatch.Placement, attemptNumber int, server string, deadline time.Time) {
-	session := placement.(*proxy.Session) // the line protocol's listener submits no others
+	session := placement.(*proxy.Session) // the line protocol's listener submits no other type
 	a := &attempt{pool: p, session: session, endpoint: p.lookup(server), deadline: deadline}
 	go func() {
 		startedAt := time.Now()
@@ -61,7 +61,7 @@
 	}()
 }
 
-// runIfAllowed makes the attempt unless another one is out, or none is needed any more.
+// runIfAllowed makes the attempt unless another one is ongoing or no attempt is needed any more.
 func (a *attempt) runIfAllowed() attemptResult {
 	if refusal := a.session.StartAttempt(); refusal != lifecycle.None {
 		audit.CountAttemptRefusal(refusal)
@@ -74,11 +74,11 @@
 	return result
 }
 
-// run makes the attempt. Unless it is established, its socket is closed on return. If the
-// session has ended meanwhile the attempt was cancelled, whatever its socket returned then:
-// its client has left, which must not count against the endpoint.
+// run makes the attempt. Unless the attempt is established, its socket is closed on return. If the
+// session's context has ended in the meantime, the outcome is Cancelled, whatever error the socket
+// returned: the client has left, which must not count against the endpoint.
 func (a *attempt) run() attemptResult {
-	if a.endpoint == nil { // it has left the list
+	if a.endpoint == nil { // the endpoint has left the list
 		return failedAttempt(balance.NotSent)
 	}
 	result := a.connect()
@@ -88,12 +88,12 @@
 	return result
 }
 
-// connect opens the connection and forwards the first line on it.
+// connect opens the connection and sends the first line on it.
 func (a *attempt) connect() attemptResult {
 	raw, err := a.pool.dial(a.session.Context(), a.endpoint.address(), a.deadline)
 	switch {
 	case neterr.IsLocal(err):
-		return failedAttempt(balance.NotSent) // it says nothing of the endpoint
+		return failedAttempt(balance.NotSent) // a local error tells nothing about the endpoint
 	case err != nil:
 		return failedAttempt(balance.ConnectFailed)
 	}
@@ -107,8 +107,9 @@
 	return result
 }
 
-// forwardFirstLine writes the session's first line and waits for the reply. stop ends the
-// closing of the connection with the session's context, and is false if it has closed.
+// forwardFirstLine writes the session's first line and waits for the reply. stop cancels the
+// closing of the connection at the end of the session's context, and returns false if the closing
+// has already started.
 func (a *attempt) forwardFirstLine(conn *bufconn.Conn, stop func() bool) attemptResult {
 	now := time.Now()
 	if refusal := a.maySend(now); refusal != lifecycle.None {
@@ -116,9 +117,9 @@
 		return failedAttempt(balance.NotSent)
 	}
 	if err := conn.WriteLine(a.session.ForwardLine(now, a.deadline), a.deadline); err != nil {
-		return failedAttempt(balance.ConnectFailed) // its last byte was not written
+		return failedAttempt(balance.ConnectFailed) // the last byte of the line was not written
 	}
-	a.auditSent(time.Now())
+	a.auditSend(time.Now())
 	a.logSent()
 	a.session.Metrics.Forwarded()
 	text, err := conn.ReadTextLineBefore(a.deadline)
@@ -131,12 +132,13 @@
 	return a.handleReply(conn, stop, text)
 }
 
-// maySend says whether the first line may be sent. A dial may take long, so this is asked just before
-// the first byte: the client may have left, in a moment in which nobody has closed the socket yet; the
-// endpoint may drain; and the deadline, which for a request that may have run before is no later than
-// the end of its retry window, may have passed. An endpoint that holds the session already gets it also
-// while it drains. Nothing of the drain grace is used on purpose: it is for what is held up between
-// this question and the write, and another endpoint takes the request at once.
+// maySend reports whether the first line may be sent, and the reason if not. It is called right
+// before the first byte is written, as the dial may have taken long and things may have changed:
+// the client may have left without the connection having been closed yet, the endpoint may have
+// started to drain, or the deadline may have passed, which for a request that may have run before
+// is no later than the end of its retry window. An endpoint that holds the session already is sent
+// the line even while it drains. The drain grace is deliberately not used here: it is reserved for
+// a delay between this check and the write, and another endpoint can take the request at once.
 func (a *attempt) maySend(now time.Time) lifecycle.Refusal {
 	return a.session.MaySend(now, lifecycle.Attempt{
 		Deadline:         a.deadline,
@@ -146,10 +148,11 @@
 	})
 }
 
-// auditSent checks, after the first line was written, what the rules say of the moment of the write.
-func (a *attempt) auditSent(now time.Time) {
+// auditSend reports an audit violation if the first line was written too long after the deadline,
+// the start of a drain or the end of the list's lease. now is the time after the write.
+func (a *attempt) auditSend(now time.Time) {
 	id := a.session.ID
-	if now.After(a.deadline.Add(writeAllowance)) {
+	if now.After(a.deadline.Add(maxWriteDelay)) {
 		audit.Violate(audit.SentTooLate, id, "endpoint", a.endpoint.id, "late", now.Sub(a.deadline))
 	}
 	if a.session.CurrentServer != "" {
@@ -159,13 +162,14 @@
 	if !a.endpoint.acceptsTraffic(now, grace) {
 		audit.Violate(audit.SentWhileDraining, id, "endpoint", a.endpoint.id)
 	}
-	if list := a.pool.listStatus(); list.Expired(now) > max(grace, writeAllowance) {
+	if list := a.pool.listStatus(); list.Expired(now) > max(grace, maxWriteDelay) {
 		audit.Violate(audit.SentByExpiredList, id, "endpoint", a.endpoint.id, "generation", list.Generation,
 			"expired", list.Expired(now))
 	}
 }
 
-// logSent writes the debug line of an attempt that was sent: by which list its endpoint was chosen.
+// logSent logs, at debug level, an attempt that was sent, with the list from which its endpoint was
+// chosen.
 func (a *attempt) logSent() {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -175,8 +179,8 @@
 		"list_generation", list.Generation, "list_age_ms", list.Age(time.Now()).Milliseconds())
 }
 
-// handleReply turns the endpoint's reply into the result. On UP the connection goes to the
-// session, unless that has ended.
+// handleReply converts the endpoint's reply to the result. On UP the connection is passed to the
+// session, unless the session has ended.
 func (a *attempt) handleReply(conn *bufconn.Conn, stop func() bool, text []byte) attemptResult {
 	reply, load := lineproto.ParseReply(text)
 	switch reply {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -13,7 +13,7 @@
 	"coralrelay/internal/discovery"
 )
 
-// The endpoint's reply decides the outcome, as the protocol's table says.
+// The endpoint's reply determines the outcome, as the table of the protocol specifies.
 func TestReplyDecidesOutcome(t *testing.T) {
 	tests := []struct {
 		name, answer string
@@ -28,7 +28,7 @@
 		{"malformed", "WHAT IS THIS\r\n", false, observation{outcome: balance.Errored}},
 		{"endless", strings.Repeat("UP", bufconn.BufferSize), false, observation{outcome: balance.Reset}},
 		{"ends", "", false, observation{outcome: balance.Reset}},
-		{"ends within its answer", "UP r", false, observation{outcome: balance.Reset}},
+		{"closed within its reply", "UP r", false, observation{outcome: balance.Reset}},
 		{"resets", "", true, observation{outcome: balance.Reset}},
 		{"nothing", "wait", false, observation{outcome: balance.TimedOut}},
 	}
@@ -48,7 +48,7 @@
 					fmt.Fprint(conn, tt.answer)
 				}
 				if tt.answer != "" && tt.answer != "UP r" {
-					_, _ = reader.ReadByte() // until the attempt's socket is closed
+					_, _ = reader.ReadByte() // blocks until the attempt closes its socket
 				}
 			})
 			session := newSession(t, observations)
@@ -62,14 +62,14 @@
 				t.Errorf("first line %q", line)
 			}
 			if !tt.want.established {
-				<-closed // the attempt's socket is
+				<-closed // the attempt has closed its socket
 			}
 		})
 	}
 }
 
-// No first line is sent to an endpoint that is known to drain, however long before the dial began; and
-// what was never sent has never run.
+// No first line is sent to an endpoint that is known to drain, however long ago the drain became
+// known. The attempt is reported as not sent, since a request that was never sent has not run.
 func TestSendsNothingAfterDrainGrace(t *testing.T) {
 	pool, observations, addr := startPool(t, func(conn net.Conn) {
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); line != "" {
@@ -81,12 +81,12 @@
 	pool.Update(false, []discovery.Endpoint{draining}, time.Now().Add(-time.Second))
 	pool.StartAttempt(newSession(t, observations), 0, "s1", time.Now().Add(testTimeout))
 	if end := observations.next(t); end.outcome != balance.NotSent {
-		t.Errorf("got %+v, want that it was not sent", end)
+		t.Errorf("got %+v, want not sent", end)
 	}
 	pool.Update(true, nil, time.Now())
 	pool.StartAttempt(newSession(t, observations), 0, "s1", time.Now().Add(testTimeout))
 	if end := observations.next(t); end.outcome != balance.NotSent {
-		t.Errorf("gone: got %+v, want that it was not sent", end)
+		t.Errorf("endpoint gone: got %+v, want not sent", end)
 	}
 }
 
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -14,8 +14,8 @@
 	"coralrelay/internal/proxy"
 )
 
-// BenchmarkSetUp takes a session from its request to the endpoint's answer, with its client on a real
-// socket: what a set-up costs beside the decision.
+// BenchmarkSetUp measures the cost of setting up a session, apart from the balancing decision: from
+// the request to the endpoint's reply, with the client on a real socket.
 func BenchmarkSetUp(bm *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	if err != nil {
 		bm.Fatal(err)
 	}
-	client, err := net.Dial("tcp", listener.Addr().String()) // nobody reads it
+	client, err := net.Dial("tcp", listener.Addr().String()) // the other side does not read
 	if err != nil {
 		bm.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-// serveSetUps answers each first line as an endpoint that is at capacity.
+// serveSetUps replies to each first line as an endpoint at capacity does.
 func serveSetUps(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/upstream/clientleft_test.go
+++ b/internal/upstream/clientleft_test.go
@@ -10,9 +10,9 @@
 	"coralrelay/internal/testsocket"
 )
 
-// Whether a client has left is asked of its socket right before the first byte is written: whoever reads
-// from the client may not have come to it yet.
-func TestSendsNothingForClientWhoseEndWasNotReadYet(t *testing.T) {
+// Right before the first byte is written, the client's socket is checked for a close, as the
+// session's reader may not have read the close yet.
+func TestSendsNothingAfterUnreadClientClose(t *testing.T) {
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); line != "" {
 			t.Errorf("sent %q", line)
@@ -21,7 +21,7 @@
 	for name, leave := range map[string]func(client *net.TCPConn) error{
 		"closed": (*net.TCPConn).Close,
 		"reset":  func(client *net.TCPConn) error { _ = client.SetLinger(0); return client.Close() },
-		"closed behind what it sent": func(client *net.TCPConn) error {
+		"closed after sending data": func(client *net.TCPConn) error {
 			_, _ = client.Write([]byte("too early\r\n"))
 			return client.Close()
 		},
@@ -35,11 +35,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		session := newSessionOn(t, observations, <-accepted) // nobody runs it: its client is not read
+		session := newSessionOn(t, observations, <-accepted) // not running, so that the client is not read
 		if err := leave(client.(*net.TCPConn)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(10 * time.Millisecond) // for the end to cross the loopback
+		time.Sleep(10 * time.Millisecond) // lets the close arrive over loopback
 		pool.StartAttempt(session, 0, "s1", time.Now().Add(testTimeout))
 		if end := observations.next(t); end.established || end.outcome == balance.TimedOut {
 			t.Errorf("%s: %+v", name, end)
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// endpointState is what the Pool knows of one endpoint.
+// endpointState is the Pool's state of one endpoint.
 type endpointState struct {
 	id string
 
 	mu             sync.Mutex
 	addr           string
-	drainStartedAt time.Time // when discovery said that it drains or is gone; zero if it has not
-	unresponsive   bool      // it did not answer its last probe
-	removed        bool      // it has left the list
-	probing        bool
-	probeRequested bool               // another probe follows the one that is under way
-	cancelProbe    context.CancelFunc // of the probe that is under way
+	drainStartedAt time.Time          // when discovery reported a drain or removal; zero if neither
+	unresponsive   bool               // the endpoint did not answer its last probe
+	removed        bool               // the endpoint has left the list
+	probing        bool               // a probe is ongoing
+	probeRequested bool               // another probe follows the ongoing one
+	cancelProbe    context.CancelFunc // cancels the ongoing probe
 }
 
-// update takes what discovery says of the endpoint. An empty address leaves the known one.
+// update applies an entry of the endpoint list. An empty address keeps the known one.
 func (e *endpointState) update(addr string, draining bool, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,8 +41,8 @@
 	return e.addr
 }
 
-// acceptsTraffic is whether something new may still be sent, with a grace after the start of a
-// drain.
+// acceptsTraffic reports whether the endpoint may still be sent something new. It may for the
+// duration of grace after the start of its drain.
 func (e *endpointState) acceptsTraffic(now time.Time, grace time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,8 +62,8 @@
 }
 
 // beginProbe begins a probe, whose context ends with parent or when the endpoint is removed. ok is
-// false if there is nothing to begin: a probe is under way, which another one follows, or the
-// endpoint is removed.
+// false if no probe begins because the endpoint is removed or a probe is ongoing; in the latter
+// case another one follows it.
 func (e *endpointState) beginProbe(parent context.Context) (ctx context.Context, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +79,8 @@
 	return ctx, true
 }
 
-// endProbe ends a probe, and reports whether another one was requested meanwhile, which begins.
+// endProbe ends a probe. If another one was requested in the meantime, that one begins and endProbe
+// returns true.
 func (e *endpointState) endProbe() (more bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,7 +94,7 @@
 	return false
 }
 
-// remove cancels the probe that is under way; none begins any more.
+// remove cancels the ongoing probe and prevents further ones.
 func (e *endpointState) remove() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/upstream/fakes_test.go
+++ b/internal/upstream/fakes_test.go
@@ -15,7 +15,7 @@
 	"coralrelay/internal/testsocket"
 )
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+const testTimeout = 10 * time.Second // reached only by a test that fails
 
 // observation is the result of an attempt or a probe.
 type observation struct {
@@ -24,7 +24,7 @@
 	load        balance.LoadReport
 }
 
-// observationChannel is an observer that passes results to the test.
+// observationChannel is an Observer that passes results to the test.
 type observationChannel chan observation
 
 func (c observationChannel) AttemptEstablished(dispatch.Placement, int, string, time.Duration) {
@@ -38,7 +38,7 @@
 	c <- observation{outcome: outcome, load: load}
 }
 
-// The session calls these; no test here waits for them.
+// A session calls the methods below; no test of this package waits for them.
 
 // ClientGone implements proxy.Observer.
 func (c observationChannel) ClientGone(dispatch.Placement) {}
@@ -46,7 +46,7 @@
 // PlacementEnded implements proxy.Observer.
 func (c observationChannel) PlacementEnded(dispatch.Placement, balance.Outcome) {}
 
-// next waits for the next result and fails the test if none comes.
+// next waits for the next result and fails the test if none arrives.
 func (c observationChannel) next(t *testing.T) observation {
 	t.Helper()
 	select {
@@ -58,12 +58,12 @@
 	}
 }
 
-// endpointAt is an entry of a ready endpoint.
+// endpointAt returns the list entry of a ready endpoint.
 func endpointAt(id, addr string) discovery.Endpoint {
 	return discovery.Endpoint{ServerEntry: balance.ServerEntry{ID: id}, Addr: addr}
 }
 
-// startPool returns a Pool that knows one endpoint, s1, which serves each connection with serve.
+// startPool returns a Pool with one endpoint, s1, which handles each connection with serve.
 func startPool(t *testing.T, serve func(net.Conn)) (*Pool, observationChannel, string) {
 	t.Helper()
 	addr := testsocket.Serve(t, serve)
@@ -79,7 +79,7 @@
 	return pool, observations, addr
 }
 
-// newSession returns a session whose client waits for its answer.
+// newSession returns a session whose client waits for the reply.
 func newSession(t *testing.T, observations observationChannel) *proxy.Session {
 	t.Helper()
 	serverSide, clientSide := net.Pipe()
@@ -87,7 +87,7 @@
 	return newSessionOn(t, observations, serverSide)
 }
 
-// newSessionOn returns a session of the client on a connection.
+// newSessionOn returns a session whose client is on the given connection.
 func newSessionOn(t *testing.T, observations observationChannel, conn net.Conn) *proxy.Session {
 	t.Helper()
 	open, err := lineproto.ParseConnectRequest([]byte("OPEN a k c=feed,d=2000,g=x"))
--- a/internal/upstream/idleprobe_test.go
+++ b/internal/upstream/idleprobe_test.go
@@ -11,10 +11,10 @@
 	"coralrelay/balance"
 )
 
-// A kept connection is used again however long it has been idle since the last probe: the deadline of
-// that probe, left on the connection, once made each look at it fail, so that nearly every probe made a
-// connection of its own.
-func TestReusesProbeConnectionThatWasIdleForLongerThanAProbe(t *testing.T) {
+// An idle probe connection is reused even if it was idle for longer than the probe timeout. The
+// deadline of the previous probe, if it is left on the connection, makes the check for idleness
+// fail, so that nearly every probe opens a connection of its own.
+func TestReusesProbeConnIdleLongerThanProbeTimeout(t *testing.T) {
 	const probes, probeTimeout = 4, 150 * time.Millisecond
 	var conns atomic.Int32
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
@@ -29,7 +29,7 @@
 		if got := observations.next(t); got.outcome != balance.OK {
 			t.Fatalf("probe %d: %+v", i, got)
 		}
-		time.Sleep(probeTimeout + probeTimeout/4) // what is tested: its deadline passes meanwhile
+		time.Sleep(probeTimeout + probeTimeout/4) // the deadline of the probe passes
 	}
 	if count := conns.Load(); count != 1 {
 		t.Errorf("%d connections for %d probes", count, probes)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,7 +16,7 @@
 	"coralrelay/internal/sysfault"
 )
 
-// Observer receives the results of attempts and probes. When it gets the result of an attempt,
+// Observer receives the results of attempts and probes. When it receives the result of an attempt,
 // the attempt's socket is closed or belongs to the session.
 type Observer interface {
 	AttemptEstablished(placement dispatch.Placement, attempt int, server string, latency time.Duration)
@@ -25,24 +25,24 @@
 	ProbeEnded(server string, outcome balance.Outcome, latency time.Duration, load balance.LoadReport)
 }
 
-// Limits bound what is spent on an endpoint.
+// Limits bound the time that is spent on an endpoint.
 type Limits struct {
-	ConnectTimeout time.Duration // for a connection of an attempt or a probe; 0 for no limit of its own
-	ProbeTimeout   time.Duration // for a probe, its connection included
-	DrainGrace     time.Duration // after a drain is known, until nothing may be sent any more
+	ConnectTimeout time.Duration // for the connection of an attempt or a probe; 0 for no separate limit
+	ProbeTimeout   time.Duration // for a probe, including its connection
+	DrainGrace     time.Duration // from when a drain is known until nothing may be sent any more
 }
 
-// Pool knows the endpoints and their addresses. Its methods may be called from any goroutine
-// and never block on a socket.
+// Pool holds the endpoints and their addresses. Its methods may be called from any goroutine and,
+// except for DialUntil, never block on a socket.
 type Pool struct {
-	// Dial connects to an address by a deadline, over TCP unless a test replaces it. Set
-	// before anything is started.
+	// Dial connects to an address before the deadline, over TCP unless a test replaces it. It must
+	// be set before anything is started.
 	Dial func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
-	// ListStatus is what is known now of the endpoint list, by which endpoints are used. Set before
-	// anything is started; nil where nobody follows a list.
+	// ListStatus returns the current status of the endpoint list. It must be set before anything is
+	// started, and is nil if no list is followed.
 	ListStatus func() listlease.Status
 
-	ctx          context.Context // ends every probe and its connection
+	ctx          context.Context // ends all probes and closes their connections
 	probeConns   *probeConns
 	limits       atomic.Pointer[Limits]
 	observer     Observer
@@ -52,10 +52,10 @@
 	endpoints map[string]*endpointState
 }
 
-// defaultProbeConns is how many probe connections there may be unless SetProbeConnLimit says otherwise.
+// defaultProbeConns is the limit on probe connections unless SetProbeConnLimit sets another.
 const defaultProbeConns = 64
 
-// New returns a Pool without endpoints. Its probe connections end with ctx.
+// New returns a Pool without endpoints. Its probe connections are closed when ctx ends.
 func New(ctx context.Context, limits Limits) *Pool {
 	p := &Pool{Dial: sysfault.Dial(dial), ctx: ctx, probeConns: newProbeConns(), endpoints: map[string]*endpointState{}}
 	p.probeConns.setCapacity(defaultProbeConns)
@@ -64,30 +64,31 @@
 	return p
 }
 
-// SetProbeConnLimit sets how many probe connections there may be, idle ones included.
+// SetProbeConnLimit sets the limit on probe connections, including idle ones.
 func (p *Pool) SetProbeConnLimit(limit int) { p.probeConns.setCapacity(limit) }
 
-// ProbeConnCount is how many probe connections there are, idle ones included.
+// ProbeConnCount returns the number of probe connections, including idle ones.
 func (p *Pool) ProbeConnCount() int { return p.probeConns.count() }
 
-// CloseIdleProbeConns closes the probe connections that are not in use, for a process that has run out
-// of descriptors. It returns how many there were.
+// CloseIdleProbeConns closes the idle probe connections, for use when the process has run out of
+// descriptors. It returns how many it closed.
 func (p *Pool) CloseIdleProbeConns() int { return p.probeConns.closeIdle() }
 
-// SetLimits sets the limits for what is started from now on.
+// SetLimits sets the limits for attempts and probes that are started later.
 func (p *Pool) SetLimits(limits Limits) { p.limits.Store(&limits) }
 
-// SetObserver sets the receiver of results. Call it before anything is started.
+// SetObserver sets the receiver of results. It must be called before anything is started.
 func (p *Pool) SetObserver(observer Observer) { p.observer = observer }
 
-// EndpointCount is how many endpoints the list has.
+// EndpointCount returns the number of endpoints in the list.
 func (p *Pool) EndpointCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.endpoints)
 }
 
-// Update takes discovery's list, or changes to it unless full is set. now is when it came.
+// Update applies a complete list if full is set, otherwise changes to the list. now is when it
+// arrived.
 func (p *Pool) Update(full bool, entries []discovery.Endpoint, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,15 +112,15 @@
 	}
 }
 
-// add adds a new endpoint. The caller holds the lock.
+// add adds a new endpoint. p.mu must be held.
 func (p *Pool) add(id string) *endpointState {
 	endpoint := &endpointState{id: id}
 	p.endpoints[id] = endpoint
 	return endpoint
 }
 
-// remove ends the probes of an endpoint that is gone. Attempts that hold it still see that it
-// drains. The caller holds the lock.
+// remove removes an endpoint that is gone and ends its probes. Attempts that hold the endpoint
+// still see it as draining. p.mu must be held.
 func (p *Pool) remove(endpoint *endpointState) {
 	endpoint.remove()
 	p.probeConns.closeEndpoint(endpoint.id)
@@ -132,7 +133,7 @@
 	return p.endpoints[id]
 }
 
-// listStatus is what is known now of the endpoint list.
+// listStatus returns the current status of the endpoint list.
 func (p *Pool) listStatus() listlease.Status {
 	if p.ListStatus == nil {
 		return listlease.Status{}
@@ -140,7 +141,7 @@
 	return p.ListStatus()
 }
 
-// Address is where an endpoint is, empty if it is not known.
+// Address returns the address of an endpoint, or the empty string if it is not known.
 func (p *Pool) Address(server string) string {
 	if endpoint := p.lookup(server); endpoint != nil {
 		return endpoint.address()
@@ -148,35 +149,36 @@
 	return ""
 }
 
-// CanSend is whether a datagram may still be sent to an endpoint. Half of the drain grace is
-// kept back for what is under way.
+// CanSend reports whether a datagram may still be sent to an endpoint. Half of the drain grace is
+// reserved for datagrams that are on their way.
 func (p *Pool) CanSend(server string, now time.Time) bool {
 	endpoint := p.lookup(server)
 	return endpoint != nil && endpoint.acceptsTraffic(now, p.sendGrace())
 }
 
-// MayBegin is whether something new may be sent to an endpoint: what CanSend asks, and whether the list that
-// names it may be relied on.
+// MayBegin reports whether a new flow may be bound to an endpoint: CanSend must hold, and the lease
+// of the list that names the endpoint must be valid.
 func (p *Pool) MayBegin(server string, now time.Time) bool {
 	return p.CanSend(server, now) && p.listStatus().MayRely(now)
 }
 
-// IsResponsive is whether an endpoint answered its last probe, true if there was none yet.
+// IsResponsive reports whether an endpoint answered its last probe. It is true before the first
+// probe.
 func (p *Pool) IsResponsive(server string) bool {
 	endpoint := p.lookup(server)
 	return endpoint != nil && endpoint.isResponsive()
 }
 
-// IsDraining is whether an endpoint drains or is gone.
+// IsDraining reports whether an endpoint is draining or gone.
 func (p *Pool) IsDraining(server string, now time.Time) bool {
 	endpoint := p.lookup(server)
 	return endpoint == nil || !endpoint.acceptsTraffic(now, 0)
 }
 
-// sendGrace is for how long after the start of a drain something new may be sent.
+// sendGrace is the time after the start of a drain during which something new may be sent.
 func (p *Pool) sendGrace() time.Duration { return p.limits.Load().DrainGrace / 2 }
 
-// dial connects before the deadline, or the connect timeout if that is sooner.
+// dial connects before the deadline or within the connect timeout, whichever ends first.
 func (p *Pool) dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	timeout := p.limits.Load().ConnectTimeout
 	if connectDeadline := time.Now().Add(timeout); timeout > 0 && connectDeadline.Before(deadline) {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -16,21 +16,22 @@
 )
 
 var (
-	// errNotLoadReport marks an answer to a probe that is not a load report.
-	errNotLoadReport = errors.New("answer is not a load report")
-	// errNotConnected marks a probe whose connection could not be made.
+	// errNotLoadReport is the error of a probe whose reply is not a load report.
+	errNotLoadReport = errors.New("reply is not a load report")
+	// errNotConnected is the error of a probe whose connection failed.
 	errNotConnected = errors.New("no connection")
-	// errNoPlace marks a probe that was not sent: all probe connections are in use.
-	errNoPlace = errors.New("all probe connections are in use")
+	// errProbeConnLimit is the error of a probe that was not sent because all probe connections are
+	// in use.
+	errProbeConnLimit = errors.New("all probe connections are in use")
 )
 
-// keptConnectFraction is the part of the connect timeout for which an answer over a kept connection is
-// awaited.
-const keptConnectFraction = 4
+// reuseTimeoutDivisor divides the connect timeout to give the longest wait for a reply over a
+// reused connection.
+const reuseTimeoutDivisor = 4
 
 // Probe requests a load report from an endpoint. The result is reported to the observer. An
-// endpoint has one probe at a time; one that is requested meanwhile follows it, and shares its result
-// with all that are requested until then.
+// endpoint has one probe at a time: requests that arrive during a probe share the result of one
+// further probe, which follows it.
 func (p *Pool) Probe(server string) {
 	endpoint := p.lookup(server)
 	if endpoint == nil {
@@ -42,14 +43,14 @@
 	}
 }
 
-// runProbes probes an endpoint until no probe is requested any more or the endpoint is gone.
+// runProbes probes an endpoint until no further probe is requested or the endpoint is removed.
 func (p *Pool) runProbes(ctx context.Context, endpoint *endpointState) {
 	for {
 		startedAt := time.Now()
 		probe := &probe{pool: p, endpoint: endpoint, addr: endpoint.address()}
 		load, err := probe.run(ctx, startedAt.Add(p.limits.Load().ProbeTimeout))
 		if ctx.Err() != nil {
-			return // the endpoint is gone: the result says nothing of a new one with its id
+			return // the endpoint was removed: the result tells nothing about a new endpoint with its ID
 		}
 		outcome := probeOutcome(err)
 		if outcome != balance.NotSent {
@@ -71,73 +72,75 @@
 	addr     string
 }
 
-// run asks for a load report, over the kept connection if there is one.
+// run requests a load report, over an idle connection if there is one.
 func (p *probe) run(ctx context.Context, deadline time.Time) (balance.LoadReport, error) {
-	kept, ok := p.pool.probeConns.acquire(p.endpoint.id, p.addr)
+	reused, ok := p.pool.probeConns.acquire(p.endpoint.id, p.addr)
 	if !ok {
-		return balance.EmptyLoadReport, p.wrap(errNoPlace)
+		return balance.EmptyLoadReport, p.wrap(errProbeConnLimit)
 	}
-	if kept == nil {
-		return p.overNewConn(ctx, deadline)
+	if reused == nil {
+		return p.queryNewConn(ctx, deadline)
 	}
-	// The endpoint may have closed the kept connection while it was idle, or have forgotten it and
-	// stay silent. An answer that is not a load report is an answer all the same: to ask again would
-	// only add to what ails the endpoint.
-	load, err := p.query(ctx, kept, p.keptDeadline(deadline))
+	// The endpoint may have closed the connection while it was idle, or have dropped it
+	// silently: then the probe is repeated over a new connection. A reply that is not a load
+	// report is a result, since a repeated probe would only add to the load of a faulty
+	// endpoint.
+	load, err := p.query(ctx, reused, p.reuseDeadline(deadline))
 	if err == nil || errors.Is(err, errNotLoadReport) || ctx.Err() != nil {
 		return load, err
 	}
-	if kept, ok = p.pool.probeConns.acquire(p.endpoint.id, p.addr); !ok {
-		return balance.EmptyLoadReport, p.wrap(errNoPlace)
+	if reused, ok = p.pool.probeConns.acquire(p.endpoint.id, p.addr); !ok {
+		return balance.EmptyLoadReport, p.wrap(errProbeConnLimit)
 	}
-	if kept != nil {
-		_ = kept.Close()
+	if reused != nil {
+		_ = reused.Close()
 	}
-	return p.overNewConn(ctx, deadline)
+	return p.queryNewConn(ctx, deadline)
 }
 
-// keptDeadline is how long an answer over a kept connection is awaited before a new one is tried: no more
-// than half of the time, and a part of what a connection may take, so that an endpoint which is cut off is
-// found out hardly later than by a new connection alone.
-func (p *probe) keptDeadline(deadline time.Time) time.Time {
+// reuseDeadline returns the deadline for a reply over a reused connection, after which a new
+// connection is tried. It leaves at least half of the time for that, and is only a part of the
+// connect timeout, so that an unreachable endpoint is detected hardly later than with a new
+// connection alone.
+func (p *probe) reuseDeadline(deadline time.Time) time.Time {
 	now := time.Now()
 	wait := deadline.Sub(now) / 2
 	if timeout := p.pool.limits.Load().ConnectTimeout; timeout > 0 {
-		wait = min(wait, timeout/keptConnectFraction)
+		wait = min(wait, timeout/reuseTimeoutDivisor)
 	}
 	return now.Add(wait)
 }
 
-// overNewConn asks over a new connection, for which a place is taken already.
-func (p *probe) overNewConn(ctx context.Context, deadline time.Time) (balance.LoadReport, error) {
+// queryNewConn queries over a new connection, for which the caller has acquired a slot.
+func (p *probe) queryNewConn(ctx context.Context, deadline time.Time) (balance.LoadReport, error) {
 	conn, err := p.pool.dial(ctx, p.addr, deadline)
 	if err != nil {
-		p.pool.probeConns.forget()
+		p.pool.probeConns.releaseClosed()
 		return balance.EmptyLoadReport, p.wrap(errors.Join(errNotConnected, err))
 	}
 	return p.query(ctx, conn, deadline)
 }
 
-// query asks over a connection. It gives the connection's place back, and keeps the connection if it
-// was answered with a load report.
+// query requests a load report over a connection and releases the connection's slot. The connection
+// is kept for reuse if the reply is a load report.
 func (p *probe) query(ctx context.Context, raw net.Conn, deadline time.Time) (balance.LoadReport, error) {
 	conn := bufconn.New(raw)
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	load, err := p.exchange(conn, deadline)
 	if !stop() || err != nil {
 		conn.Release()
-		p.pool.probeConns.forget()
+		p.pool.probeConns.releaseClosed()
 		return load, err
 	}
-	if rested := conn.Detach(); rested != nil {
-		p.pool.probeConns.release(p.endpoint.id, p.addr, rested)
+	if detached := conn.Detach(); detached != nil {
+		p.pool.probeConns.release(p.endpoint.id, p.addr, detached)
 	} else {
-		p.pool.probeConns.forget()
+		p.pool.probeConns.releaseClosed()
 	}
 	return load, nil
 }
 
-// exchange writes the question and reads the answer.
+// exchange writes the request and reads the reply.
 func (p *probe) exchange(conn *bufconn.Conn, deadline time.Time) (balance.LoadReport, error) {
 	if err := conn.WriteLine(lineproto.Stats, deadline); err != nil {
 		return balance.EmptyLoadReport, p.wrap(err)
@@ -154,18 +157,18 @@
 	return load, nil
 }
 
-// wrap says in an error which endpoint was probed.
+// wrap adds the endpoint to an error.
 func (p *probe) wrap(err error) error { return fmt.Errorf("probe %s: %w", p.endpoint.id, err) }
 
-// probeOutcome is what a probe says of its endpoint. One that could not be sent for a reason of this
-// process says nothing.
+// probeOutcome returns what the result of a probe tells about its endpoint. A probe that could not
+// be sent for a local reason tells nothing.
 func probeOutcome(err error) balance.Outcome {
 	switch {
 	case err == nil:
 		return balance.OK
 	case errors.Is(err, errNotLoadReport):
 		return balance.Errored
-	case errors.Is(err, errNoPlace), neterr.IsLocal(err):
+	case errors.Is(err, errProbeConnLimit), neterr.IsLocal(err):
 		return balance.NotSent
 	case errors.Is(err, errNotConnected):
 		return balance.ConnectFailed
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -19,8 +19,8 @@
 	"coralrelay/internal/testsocket"
 )
 
-// Probes share one kept connection, which is made anew when it was closed; a malformed report
-// is an error and a missing one a timeout.
+// Probes reuse one connection, which is replaced when it has been closed. A malformed report is an
+// error and a missing one a timeout.
 func TestProbesShareOneConnection(t *testing.T) {
 	answers := []string{
 		"PONG outstanding=7,x0=0.5,recent_ms=2", "PONG x0=0.25", "", "PONG x0=1", "PONG x0=much", "NO", "wait",
@@ -46,7 +46,7 @@
 			}
 			switch answer := <-answerQueue; answer {
 			case "":
-				return // closed while it was kept
+				return // closes the connection while it is idle
 			case "wait":
 			default:
 				fmt.Fprintf(conn, "%s\r\n", answer)
@@ -62,7 +62,7 @@
 		}
 	}
 	if count := conns.Load(); count != 4 {
-		t.Errorf("%d connections for %d probes, of which 3 lost theirs before the last", count, len(want))
+		t.Errorf("%d connections for %d probes, want 4, as 3 were closed", count, len(want))
 	}
 	pool.Probe("s9")
 	if got := observations.next(t); got.outcome != balance.ConnectFailed {
@@ -70,7 +70,7 @@
 	}
 }
 
-// serveLoadReports serves load reports on a listener of its own.
+// serveLoadReports serves load reports on a listener of its own and returns its address.
 func serveLoadReports(t *testing.T, x0 string) (addr string) {
 	t.Helper()
 	return testsocket.Serve(t, func(conn net.Conn) {
@@ -80,8 +80,9 @@
 	})
 }
 
-// A process that took an id over at another address was judged by the one that had it before:
-// probes went on over the kept connection for as long as that one answered.
+// An endpoint ID that moves to another address is probed at the new address. If probes reused the
+// connection to the old address, the new process would be judged by the load reports of the old one
+// for as long as that one answered.
 func TestProbesFollowTheAddress(t *testing.T) {
 	pool, observations, _ := startPool(t, func(net.Conn) {})
 	for _, x0 := range []float64{0.25, 0.75} {
@@ -89,19 +90,19 @@
 		pool.Update(false, moved, time.Now())
 		pool.Probe("s1")
 		if got := observations.next(t); got.outcome != balance.OK || got.load.Utilization != x0 {
-			t.Errorf("got %+v, want the report %v of the process that has the id now", got, x0)
+			t.Errorf("got %+v, want the report %v of the process that now has the ID", got, x0)
 		}
 	}
 }
 
-// A probe of an endpoint that is gone meanwhile says nothing of the one that has its id now: it
-// counted as a failure of that one.
+// The result of a probe is discarded if its endpoint was removed in the meantime. Otherwise it
+// would count as a failure of the new endpoint that now has the ID.
 func TestDiscardsProbeResultOfRemovedEndpoint(t *testing.T) {
 	requested := make(chan struct{})
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
 		bufio.NewScanner(conn).Scan()
 		close(requested)
-		_, _ = conn.Read(make([]byte, 1)) // answers nothing
+		_, _ = conn.Read(make([]byte, 1)) // sends no reply
 	})
 	pool.Probe("s1")
 	<-requested
@@ -112,21 +113,21 @@
 	for range 3 {
 		pool.Probe("s1")
 		if got := observations.next(t); got.outcome != balance.OK {
-			t.Errorf("got %+v of a healthy endpoint", got)
+			t.Errorf("got %+v, want OK from a healthy endpoint", got)
 		}
 	}
 }
 
-// An endpoint, or what stands before it, may forget a connection that was idle and say nothing: the
-// probe is answered over a new one all the same, and the endpoint has no fault.
-func TestProbesOverNewConnectionWhereTheKeptOneWasForgotten(t *testing.T) {
+// An endpoint, or a device on the path to it, may silently drop an idle connection. The probe is
+// then answered over a new connection and does not count against the endpoint.
+func TestProbeRetriesOverNewConnAfterSilentDrop(t *testing.T) {
 	var conns atomic.Int32
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
 		answered := conns.Add(1) > 1
 		for lines := bufio.NewScanner(conn); lines.Scan(); {
 			fmt.Fprint(conn, "PONG x0=0.5\r\n")
 			if !answered {
-				_, _ = io.Copy(io.Discard, conn) // all that comes after the first line
+				_, _ = io.Copy(io.Discard, conn) // ignores everything after the first line
 			}
 		}
 	})
@@ -141,19 +142,20 @@
 	}
 }
 
-// A probe for which there is no place says nothing of its endpoint, and at once.
-func TestProbeWithoutAPlaceIsNotSent(t *testing.T) {
+// A probe beyond the limit on probe connections fails at once and does not count against its
+// endpoint.
+func TestProbeBeyondConnLimitIsNotSent(t *testing.T) {
 	pool, observations, _ := startPool(t, func(net.Conn) { t.Error("a probe connection") })
 	pool.SetProbeConnLimit(0)
 	pool.Probe("s1")
 	if got := observations.next(t); got.outcome != balance.NotSent || !pool.IsResponsive("s1") {
-		t.Errorf("%+v, want that it was not sent", got)
+		t.Errorf("got %+v, want not sent", got)
 	}
 }
 
-// Where descriptors have run out, idle probe connections make way for an attempt; where there are none,
-// the attempt was not sent, and its endpoint has no fault.
-func TestIdleProbeConnectionsMakeWayForDials(t *testing.T) {
+// When descriptors have run out, an attempt's dial closes idle probe connections and is repeated.
+// If there are none, the attempt is reported as not sent and does not count against its endpoint.
+func TestDialClosesIdleProbeConnsWhenOutOfDescriptors(t *testing.T) {
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
 		for lines := bufio.NewScanner(conn); lines.Scan(); {
 			fmt.Fprint(conn, "PONG x0=0.5\r\n")
@@ -170,7 +172,7 @@
 	pool.Probe("s1")
 	observations.next(t)
 	if _, err := pool.dial(t.Context(), "127.0.0.1:1", time.Now().Add(testTimeout)); neterr.IsExhausted(err) {
-		t.Errorf("%v, though an idle connection could make way", err)
+		t.Errorf("got %v, want a second dial after an idle connection was closed", err)
 	}
 	pool.Dial = func(context.Context, string, time.Time) (net.Conn, error) {
 		return nil, os.NewSyscallError("socket", syscall.EMFILE)
--- a/internal/upstream/probeconns.go
+++ b/internal/upstream/probeconns.go
@@ -11,32 +11,33 @@
 )
 
 // maxProbeConnIdle is how long a probe connection may be idle before it is closed: endpoints and
-// what stands between forget connections that rest for longer.
+// devices on the path to them drop connections that are idle for longer.
 const maxProbeConnIdle = 20 * time.Second
 
-// probeConns keeps connections for probes, at most one idle one for each endpoint. Idle ones and
-// those in use are at most capacity together: whoever needs one more takes the place of the one that
-// has been idle for longest. Idle connections have no buffers and no goroutine.
+// probeConns pools the connections for probes, with at most one idle connection for each endpoint.
+// Idle connections and those in use together are limited to capacity: when another one is needed,
+// the one that has been idle for longest is closed. Idle connections have no buffers and no
+// goroutine.
 type probeConns struct {
-	mu       sync.Mutex
-	capacity int
-	inUse    int
-	closed   bool
-	idle     map[string]*list.Element // of order, by endpoint
-	order    list.List                // of *idleConn, the one that has been idle for longest first
-	expiry   *time.Timer              // closes those that were idle for too long; nil before the first
+	mu          sync.Mutex
+	capacity    int
+	inUse       int
+	closed      bool
+	idle        map[string]*list.Element // elements of idleOrder, by endpoint
+	idleOrder   list.List                // of *idleConn, longest idle first
+	expiryTimer *time.Timer              // calls closeExpired; nil before the first connection is idle
 }
 
 // idleConn is a connection that is not in use.
 type idleConn struct {
 	endpoint, addr string
 	conn           net.Conn
-	since          time.Time
+	idleSince      time.Time
 }
 
 func newProbeConns() *probeConns { return &probeConns{idle: map[string]*list.Element{}} }
 
-// setCapacity changes how many connections there may be. Those in use stay.
+// setCapacity changes the limit on connections. Connections in use are not closed.
 func (c *probeConns) setCapacity(capacity int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,24 +45,25 @@
 	c.evictBeyond(c.capacity)
 }
 
-// acquire takes a place for one connection to an endpoint, which release or forget gives back. conn
-// is the endpoint's idle connection, nil if there is none that can be used. ok is false if all places
-// are taken by connections in use.
+// acquire takes a slot for one connection to an endpoint, which the caller gives back with release
+// or releaseClosed. conn is the endpoint's idle connection, or nil if there is none that can be
+// used. ok is false if all slots are in use or the pool is closed.
 func (c *probeConns) acquire(endpoint, addr string) (conn net.Conn, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if element := c.idle[endpoint]; element != nil {
 		conn = c.takeIdle(element, addr)
 	}
-	if c.closed || conn == nil && !c.hasPlace() {
+	if c.closed || conn == nil && !c.ensureFreeSlot() {
 		return nil, false
 	}
 	c.inUse++
 	return conn, true
 }
 
-// hasPlace reports whether there is a place for one more connection, which it makes if it can.
-func (c *probeConns) hasPlace() bool {
+// ensureFreeSlot reports whether there is a slot for one more connection, closing an idle connection if
+// necessary.
+func (c *probeConns) ensureFreeSlot() bool {
 	if mutation.Enabled("probe_conns") {
 		return true
 	}
@@ -69,18 +71,20 @@
 	return c.inUse < c.capacity
 }
 
-// takeIdle removes an idle connection, and closes it if it can't be used to probe the endpoint at
-// addr: another address, too long a rest, or an end or a line that has come meanwhile.
+// takeIdle removes an idle connection from the pool. It closes the connection and returns nil if it
+// cannot be used to probe the endpoint at addr: it has another address, was idle for too long, was
+// closed by the endpoint, or has unread input.
 func (c *probeConns) takeIdle(element *list.Element, addr string) net.Conn {
-	kept := c.remove(element)
-	if kept.addr != addr || time.Since(kept.since) > maxProbeConnIdle || !bufconn.IsIdle(kept.conn) {
-		_ = kept.conn.Close()
+	candidate := c.remove(element)
+	if candidate.addr != addr || time.Since(candidate.idleSince) > maxProbeConnIdle ||
+		!bufconn.IsIdle(candidate.conn) {
+		_ = candidate.conn.Close()
 		return nil
 	}
-	return kept.conn
+	return candidate.conn
 }
 
-// release gives a place back and keeps its connection for the next probe of the endpoint.
+// release gives a slot back and keeps its connection for the next probe of the endpoint.
 func (c *probeConns) release(endpoint, addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,15 +93,16 @@
 		_ = conn.Close()
 		return
 	}
-	c.idle[endpoint] = c.order.PushBack(&idleConn{endpoint: endpoint, addr: addr, conn: conn, since: time.Now()})
-	if c.order.Len() == 1 {
+	c.idle[endpoint] = c.idleOrder.PushBack(
+		&idleConn{endpoint: endpoint, addr: addr, conn: conn, idleSince: time.Now()})
+	if c.idleOrder.Len() == 1 {
 		c.scheduleExpiry()
 	}
 	c.evictBeyond(c.capacity)
 }
 
-// forget gives a place back whose connection is closed.
-func (c *probeConns) forget() {
+// releaseClosed gives back the slot of a connection that is closed.
+func (c *probeConns) releaseClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inUse--
@@ -116,53 +121,53 @@
 func (c *probeConns) closeIdle() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count := c.order.Len()
+	count := c.idleOrder.Len()
 	c.evictBeyond(0)
 	return count
 }
 
-// count is how many connections are open, or about to be.
+// count returns the number of connections that are open or being opened.
 func (c *probeConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.inUse + c.order.Len()
+	return c.inUse + c.idleOrder.Len()
 }
 
-// close closes all idle connections; those in use are closed when they are given back.
+// close closes all idle connections. Those in use are closed when they are released.
 func (c *probeConns) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	c.evictBeyond(0)
-	if c.expiry != nil {
-		c.expiry.Stop()
+	if c.expiryTimer != nil {
+		c.expiryTimer.Stop()
 	}
 }
 
-// evictBeyond closes idle connections, the ones that have been idle for longest first, until no
-// more than limit are open, or none is idle. The lock is held.
+// evictBeyond closes idle connections, longest idle first, until at most limit connections are open
+// or none is idle. c.mu must be held.
 func (c *probeConns) evictBeyond(limit int) {
 	if mutation.Enabled("probe_conns") && limit > 0 {
 		return
 	}
-	for c.order.Len() > 0 && c.order.Len()+c.inUse > limit {
-		_ = c.remove(c.order.Front()).conn.Close()
+	for c.idleOrder.Len() > 0 && c.idleOrder.Len()+c.inUse > limit {
+		_ = c.remove(c.idleOrder.Front()).conn.Close()
 	}
 }
 
-// remove takes an idle connection out; it stays open. The lock is held.
+// remove removes an idle connection from the pool without closing it. c.mu must be held.
 func (c *probeConns) remove(element *list.Element) *idleConn {
-	kept := c.order.Remove(element).(*idleConn)
-	delete(c.idle, kept.endpoint)
-	return kept
+	removed := c.idleOrder.Remove(element).(*idleConn)
+	delete(c.idle, removed.endpoint)
+	return removed
 }
 
-// closeExpired closes the connections that were idle for too long.
+// closeExpired closes the connections that have been idle for too long.
 func (c *probeConns) closeExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for front := c.order.Front(); front != nil; front = c.order.Front() {
-		if time.Since(front.Value.(*idleConn).since) < maxProbeConnIdle {
+	for front := c.idleOrder.Front(); front != nil; front = c.idleOrder.Front() {
+		if time.Since(front.Value.(*idleConn).idleSince) < maxProbeConnIdle {
 			break
 		}
 		_ = c.remove(front).conn.Close()
@@ -170,16 +175,16 @@
 	c.scheduleExpiry()
 }
 
-// scheduleExpiry has closeExpired called when the connection that has been idle for longest has been
-// so for too long. The lock is held.
+// scheduleExpiry schedules closeExpired for when the connection that has been idle for longest
+// reaches maxProbeConnIdle. c.mu must be held.
 func (c *probeConns) scheduleExpiry() {
-	if c.closed || c.order.Len() == 0 {
+	if c.closed || c.idleOrder.Len() == 0 {
 		return
 	}
-	wait := maxProbeConnIdle - time.Since(c.order.Front().Value.(*idleConn).since)
-	if c.expiry == nil {
-		c.expiry = time.AfterFunc(wait, c.closeExpired)
+	wait := maxProbeConnIdle - time.Since(c.idleOrder.Front().Value.(*idleConn).idleSince)
+	if c.expiryTimer == nil {
+		c.expiryTimer = time.AfterFunc(wait, c.closeExpired)
 		return
 	}
-	c.expiry.Reset(wait)
+	c.expiryTimer.Reset(wait)
 }
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Events between two steps of an attempt or a probe, forced by a dial or an endpoint that waits.
+// Events between two steps of an attempt or a probe, forced by a dial or an endpoint that blocks.
 
 import (
 	"bufio"
@@ -18,26 +18,26 @@
 	"coralrelay/internal/listlease"
 )
 
-// blockedDial dials at once and returns the connection when it is released, whatever has
-// happened meanwhile, like a dial that took long.
-type blockedDial struct{ dialled, release chan struct{} }
+// blockedDial dials at once and returns the connection when it is released, regardless of what has
+// happened in the meantime, as a slow dial does.
+type blockedDial struct{ dialed, release chan struct{} }
 
-// blockDial replaces the pool's dial by one that is blocked.
+// blockDial replaces the pool's dial by a blocked one.
 func blockDial(pool *Pool) blockedDial {
 	blocked := blockedDial{make(chan struct{}), make(chan struct{})}
 	pool.Dial = func(_ context.Context, addr string, deadline time.Time) (net.Conn, error) {
 		conn, err := dial(context.Background(), addr, deadline)
-		close(blocked.dialled)
+		close(blocked.dialed)
 		<-blocked.release
 		return conn, err
 	}
 	return blocked
 }
 
-// The client leaves while the dial is under way, or in the very moment in which it succeeds: not
-// a byte is sent to the endpoint, and nothing counts against it.
+// The client leaves while the dial is ongoing, or at the moment at which it succeeds. Nothing is
+// sent to the endpoint, and nothing counts against it.
 func TestSendsNothingAfterClientLeavesDuringDial(t *testing.T) {
-	for name, sameMoment := range map[string]bool{"noticed": false, "in the same moment": true} {
+	for name, sameMoment := range map[string]bool{"noticed": false, "at the same moment": true} {
 		t.Run(name, func(t *testing.T) {
 			receivedBytes := make(chan []byte, 1)
 			pool, observations, _ := startPool(t, func(conn net.Conn) {
@@ -50,9 +50,9 @@
 			sessionEnded := make(chan struct{})
 			go func() { defer close(sessionEnded); session.Run() }()
 			pool.StartAttempt(session, 0, "s1", time.Now().Add(testTimeout))
-			<-blocked.dialled
+			<-blocked.dialed
 			if sameMoment {
-				session.Fail() // ends its context without a moment for anybody to close the socket
+				session.Fail() // ends its context, and leaves no time for the socket to be closed
 			} else {
 				clientSide.Close()
 				<-session.Context().Done()
@@ -62,7 +62,7 @@
 				t.Errorf("got %+v, want cancelled", end)
 			}
 			if received := <-receivedBytes; len(received) > 0 {
-				t.Errorf("the endpoint was sent %q", received)
+				t.Errorf("endpoint received %q", received)
 			}
 			clientSide.Close()
 			<-sessionEnded
@@ -70,15 +70,15 @@
 	}
 }
 
-// A client leaves during its attempt: whatever the closed socket returns then, the attempt was
-// cancelled. As a reset or a failed connection it counted against the endpoint.
+// A client leaves during its attempt. The attempt is reported as cancelled, whatever error its
+// closed socket returns: a reset or a failed connection would count against the endpoint.
 func TestReportsCancelledAfterClientLeavesDuringAttempt(t *testing.T) {
 	requested := make(chan struct{})
 	pool, observations, _ := startPool(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, _ = reader.ReadString('\n')
 		close(requested)
-		_, _ = reader.ReadByte() // until the attempt's socket is closed
+		_, _ = reader.ReadByte() // blocks until the attempt closes its socket
 	})
 	session := newSession(t, observations)
 	pool.StartAttempt(session, 0, "s1", time.Now().Add(testTimeout))
@@ -89,7 +89,8 @@
 	}
 }
 
-// A drain is reported, or the deadline passes, or the list's lease ends, while the dial is under way: nothing is sent.
+// Nothing is sent if, while the dial is ongoing, a drain is reported, the deadline passes or the
+// list's lease ends.
 func TestSendsNothingAfterDrainOrDeadlineDuringDial(t *testing.T) {
 	draining := endpointAt("s1", "")
 	draining.State = balance.Draining
@@ -98,7 +99,7 @@
 			pool.Update(false, []discovery.Endpoint{draining}, time.Now())
 		},
 		"gone":         func(pool *Pool) { pool.Update(true, nil, time.Now().Add(-time.Second)) },
-		"deadline":     func(*Pool) { time.Sleep(time.Second) }, // of the test's fake time
+		"deadline":     func(*Pool) { time.Sleep(time.Second) }, // in fake time
 		"list's lease": func(*Pool) { time.Sleep(time.Second / 2) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,21 +112,21 @@
 				pool.ListStatus = func() listlease.Status { return status }
 				pool.Update(true, []discovery.Endpoint{endpointAt("s1", "s1")}, time.Now())
 				poolSide, endpointSide := net.Pipe()
-				dialled, release := make(chan struct{}), make(chan struct{})
+				dialed, release := make(chan struct{}), make(chan struct{})
 				pool.Dial = func(context.Context, string, time.Time) (net.Conn, error) {
-					close(dialled)
+					close(dialed)
 					<-release
 					return poolSide, nil
 				}
 				pool.StartAttempt(newSession(t, observations), 0, "s1", time.Now().Add(time.Second))
-				<-dialled
+				<-dialed
 				interrupt(pool)
 				close(release)
 				if received, _ := io.ReadAll(endpointSide); len(received) > 0 {
 					t.Errorf("sent %q", received)
 				}
 				if end := observations.next(t); end.outcome != balance.NotSent {
-					t.Errorf("got %+v, want that it was not sent", end)
+					t.Errorf("got %+v, want not sent", end)
 				}
 				cancel()
 			})
@@ -133,8 +134,8 @@
 	}
 }
 
-// A kept connection that its endpoint closes while it is idle, or on which a second answer has
-// come, is not used again: each probe is sent once, and gets its own answer.
+// An idle connection that its endpoint has closed, or on which a second reply has arrived, is not
+// reused: each probe is sent once and gets its own reply.
 func TestReplacesStaleProbeConnection(t *testing.T) {
 	var queries, conns atomic.Int32
 	followUps, sent := make(chan string, 1), make(chan struct{})
@@ -162,7 +163,7 @@
 			t.Fatalf("probe %d: got %+v", i+1, got)
 		}
 		if followUp != "" {
-			<-sent // on loopback it has arrived when it was written
+			<-sent // on loopback, data has arrived once it is written
 		}
 	}
 	if queryCount, connCount := queries.Load(), conns.Load(); queryCount != 6 || connCount != 4 {
--- a/internal/upstream/reasons.go
+++ b/internal/upstream/reasons.go
@@ -5,7 +5,8 @@
 	"coralrelay/internal/audit"
 )
 
-// attemptReasons are the reasons for which attempts that were not established have ended.
+// attemptReasons maps the outcomes of attempts that were not established to the reasons that are
+// counted.
 var attemptReasons = map[balance.Outcome]audit.Reason{
 	balance.AtCapacity:    audit.RetryAtCapacity,
 	balance.ConnectFailed: audit.RetryConnectFailed,
@@ -16,7 +17,8 @@
 	balance.Cancelled:     audit.AttemptCancelled,
 }
 
-// probeReasons are the reasons for which a probe counts against its endpoint.
+// probeReasons maps the outcomes of probes that count against their endpoint to the reasons that
+// are counted.
 var probeReasons = map[balance.Outcome]audit.Reason{
 	balance.TimedOut:      audit.EjectProbeTimedOut,
 	balance.ConnectFailed: audit.EjectProbeConnectFailed,
@@ -24,14 +26,14 @@
 	balance.Errored:       audit.EjectProbeErrored,
 }
 
-// countOutcome counts why an attempt was not established.
+// countOutcome counts the reason why an attempt was not established.
 func countOutcome(result attemptResult) {
 	if reason, ok := attemptReasons[result.outcome]; ok && !result.established {
 		audit.Count(reason)
 	}
 }
 
-// countProbe counts why a probe failed.
+// countProbe counts the reason why a probe failed.
 func countProbe(outcome balance.Outcome) {
 	if reason, ok := probeReasons[outcome]; ok {
 		audit.Count(reason)
