--- a/balance/placement.go
+++ b/balance/placement.go
@@ -113,11 +113,11 @@
 		if r.mayHaveRunOn == nil { // the first that may have run, and the earliest that it can have
 			r.mayHaveRunOn, r.mayHaveRunAt = s, r.startedAt
 		}
-		mayRetry = outcome == Errored && lifecycle.MayRetry(lifecycle.Repeat{
-			MayHaveRun: true,
-			Effect:     effects[r.class.Idempotency],
-			InKeyScope: true, // mayRepeat looks at each server
-			KeyWindow:  never,
+		mayRetry = outcome == Errored && lifecycle.MayRetry(lifecycle.Retry{
+			MayHaveRun:  true,
+			Idempotence: effects[r.class.Idempotency],
+			InKeyScope:  true, // mayRepeat looks at each server
+			KeyWindow:   never,
 		}) == lifecycle.None
 	}
 	if !mayRetry {
@@ -147,19 +147,19 @@
 	if first == nil {
 		return true
 	}
-	return lifecycle.MayRetry(lifecycle.Repeat{
-		MayHaveRun: true,
-		Effect:     effects[r.class.Idempotency],
-		InKeyScope: r.class.KeyScope.includes(first, s),
-		Elapsed:    b.now - r.mayHaveRunAt,
-		KeyWindow:  r.class.KeyWindow,
+	return lifecycle.MayRetry(lifecycle.Retry{
+		MayHaveRun:  true,
+		Idempotence: effects[r.class.Idempotency],
+		InKeyScope:  r.class.KeyScope.includes(first, s),
+		Elapsed:     b.now - r.mayHaveRunAt,
+		KeyWindow:   r.class.KeyWindow,
 	}) == lifecycle.None
 }
 
 // effects are the kinds of idempotency as package lifecycle has them.
-var effects = map[Idempotency]lifecycle.Effect{
+var effects = map[Idempotency]lifecycle.Idempotence{
 	Idempotent:       lifecycle.Idempotent,
-	IdempotencyKeyed: lifecycle.Keyed,
+	IdempotencyKeyed: lifecycle.IdempotentByKey,
 	NonIdempotent:    lifecycle.NonIdempotent,
 }
 
--- a/cmd/coralrelay/fleetrouter.go
+++ b/cmd/coralrelay/fleetrouter.go
@@ -84,7 +84,7 @@
 		r.rejections.isPending = true
 		return nil, &balance.ZoneConstraint{Name: over}
 	}
-	return matched, matched.Bound
+	return matched, matched.Constraint
 }
 
 // Adopt implements dispatch.Router.
@@ -94,7 +94,7 @@
 		return nil, nil
 	}
 	r.limiter.ConnectionOpened(matched)
-	return matched, matched.Bound
+	return matched, matched.Constraint
 }
 
 // AddUsage implements dispatch.Router.
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -27,7 +27,7 @@
 	log := captureLog(t)
 	handled := 0
 	SetViolationHandler(func(kind Violation, id string) {
-		if kind != SecondAttemptOut || id != "a" {
+		if kind != ConcurrentAttempt || id != "a" {
 			t.Errorf("handled %v by %q", kind, id)
 		}
 		handled++
@@ -37,7 +37,7 @@
 	StateChanged("b", lifecycle.ClientLeft, lifecycle.Waiting, lifecycle.ClientGone)
 	before := ViolationCount()
 	for range 3 {
-		Violate(SecondAttemptOut, "a", "endpoint", "s1")
+		ReportViolation(ConcurrentAttempt, "a", "endpoint", "s1")
 	}
 	if count := ViolationCount() - before; count != 3 || handled != 3 {
 		t.Errorf("%d counted, %d handled, want 3", count, handled)
@@ -60,7 +60,7 @@
 		t.Errorf("%d lines, want 1 a second", lines)
 	}
 	nextViolationAt.Store(int64(time.Since(processStart)))
-	if Violate(SecondAttemptOut, "a"); strings.Count(log.String(), "invariant violated") != 2 {
+	if ReportViolation(ConcurrentAttempt, "a"); strings.Count(log.String(), "invariant violated") != 2 {
 		t.Error("no second line after a second")
 	}
 }
--- a/internal/audit/reason.go
+++ b/internal/audit/reason.go
@@ -32,7 +32,7 @@
 
 	RefuseAttemptClientLeft // an attempt was not made: the client has left
 	RefuseAttemptAnswered   // an attempt was not made: the request has its answer
-	RefuseAttemptOut        // an attempt was not made: another one is out
+	RefuseAttemptInProgress // an attempt was not made: another one is out
 	RefuseAttemptLate       // an attempt was not made: its time, or the retry window, is over
 	RefuseAttemptStale      // an attempt was not made: the endpoint list may not be relied on
 	RefuseAttemptDraining   // an attempt was not made: the endpoint drains or is gone
@@ -86,12 +86,12 @@
 // not served.
 var (
 	attemptRefusals = map[lifecycle.Refusal]Reason{
-		lifecycle.AlreadyAnswered:  RefuseAttemptAnswered,
-		lifecycle.ClientHasLeft:    RefuseAttemptClientLeft,
-		lifecycle.AttemptOut:       RefuseAttemptOut,
-		lifecycle.DeadlinePassed:   RefuseAttemptLate,
-		lifecycle.EndpointDraining: RefuseAttemptDraining,
-		lifecycle.ListExpired:      RefuseAttemptStale,
+		lifecycle.AlreadyAnswered:   RefuseAttemptAnswered,
+		lifecycle.ClientHasLeft:     RefuseAttemptClientLeft,
+		lifecycle.AttemptInProgress: RefuseAttemptInProgress,
+		lifecycle.DeadlinePassed:    RefuseAttemptLate,
+		lifecycle.EndpointDraining:  RefuseAttemptDraining,
+		lifecycle.ListExpired:       RefuseAttemptStale,
 	}
 	requestRefusals = map[lifecycle.Refusal]Reason{
 		lifecycle.ClientHasLeft: RefuseRequestLeft,
--- a/internal/audit/violation.go
+++ b/internal/audit/violation.go
@@ -12,7 +12,7 @@
 // The kinds of violations.
 const (
 	ImpossibleTransition Violation = iota // an event came in a state in which it can't happen
-	SecondAttemptOut                      // an attempt began while another one was out
+	ConcurrentAttempt                     // an attempt began while another one was out
 	SentWhileDraining                     // the first line was written too long after a drain was known
 	SentByExpiredList                     // the first line was written too long after the list's lease had ended
 	SentTooLate                           // the first line was written after the attempt's deadline
@@ -46,9 +46,9 @@
 	handler.Store(&handle)
 }
 
-// Violate counts a violation by a session, and logs it with the latest state changes of that session
+// ReportViolation counts a violation by a session, and logs it with the latest state changes of that session
 // unless one was logged within the last second.
-func Violate(kind Violation, id string, attributes ...any) {
+func ReportViolation(kind Violation, id string, attributes ...any) {
 	violations[kind].Add(1)
 	if handle := handler.Load(); handle != nil {
 		(*handle)(kind, id)
--- a/internal/discovery/callerror.go
+++ b/internal/discovery/callerror.go
@@ -27,7 +27,7 @@
 		outcome = callErr.outcome
 	}
 	switch {
-	case !c.watching || outcome == listlease.Spoilt:
+	case !c.watching || outcome == listlease.Unusable:
 		return outcome
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return listlease.WatchSilent
@@ -38,7 +38,7 @@
 // failureOf returns what the end of a call tells about the load of the discovery service.
 func failureOf(call listlease.Call) balance.ListFailure {
 	switch {
-	case call.WaitedInVain():
+	case call.TimedOutInQueue():
 		return balance.CallWaited
 	case call.Outcome == listlease.Unavailable:
 		return balance.CallRejected
@@ -79,7 +79,7 @@
 		(*messageError)(nil)
 	if errors.As(err, &syntaxErr) || errors.As(err, &typeErr) || errors.As(err, &messageErr) ||
 		errors.Is(err, errMessageTooLarge) {
-		return &callError{listlease.Spoilt, err}
+		return &callError{listlease.Unusable, err}
 	}
 	return &callError{listlease.Incomplete, err}
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -76,7 +76,7 @@
 		slog.Warn("endpoint list went back", w.describe(c, "offered_generation", update.Generation,
 			"reset", update.Kind == balance.ListFull)...)
 		if update.Kind != balance.ListFull {
-			w.endCall(c, &callError{listlease.Spoilt, errOutdatedChanges})
+			w.endCall(c, &callError{listlease.Unusable, errOutdatedChanges})
 			return
 		}
 	}
@@ -100,7 +100,7 @@
 	c.cancel()
 	w.calls = slices.DeleteFunc(w.calls, func(other *call) bool { return other == c })
 	outcome := c.outcomeOf(err)
-	w.needsFullList = w.needsFullList || outcome == listlease.Spoilt
+	w.needsFullList = w.needsFullList || outcome == listlease.Unusable
 	w.countCall(outcome)
 	ended := listlease.Call{BegunAt: c.startedAt, EndedAt: time.Now(), Outcome: outcome}
 	w.lease.CallEnded(ended)
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -27,7 +27,7 @@
 
 // startLease starts the lease of a process that begins with a cached list.
 func (w *Watcher) startLease(cached Update) {
-	w.lease = listlease.Start(time.Now(), w.currentTerms(), cached.Generation, len(cached.Endpoints) > 0)
+	w.lease = listlease.New(time.Now(), w.currentTerms(), cached.Generation, len(cached.Endpoints) > 0)
 	w.publishLease()
 }
 
@@ -51,7 +51,7 @@
 // renewed.
 func (w *Watcher) scheduleExpiry(status listlease.Status) {
 	now := time.Now()
-	if !w.expiredSince.IsZero() && status.MayRely(now) {
+	if !w.expiredSince.IsZero() && status.IsValid(now) {
 		slog.Info("endpoint list may be relied on again", "component", "discovery", "generation", status.Generation,
 			"expired_ms", now.Sub(w.expiredSince).Milliseconds())
 		w.expiredSince = time.Time{}
@@ -65,7 +65,7 @@
 // renewed.
 func (w *Watcher) logExpired() {
 	now, status := time.Now(), w.Status()
-	if status.MayRely(now) {
+	if status.IsValid(now) {
 		return // renewed in the meantime; the timer is set already
 	}
 	if w.expiredSince.IsZero() {
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -165,7 +165,7 @@
 			t.Errorf("got %+v", update)
 		}
 		l.expectLease(6 * time.Second)
-		if got := l.CallCount(listlease.Spoilt); got != 1 {
+		if got := l.CallCount(listlease.Unusable); got != 1 {
 			t.Errorf("%d calls counted as spoilt, want 1", got)
 		}
 		conn = l.poll()
--- a/internal/discovery/status_test.go
+++ b/internal/discovery/status_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("after a list: %+v", status)
 	}
 	for _, outcome := range []listlease.Outcome{
-		listlease.Unavailable, listlease.Incomplete, listlease.Spoilt, listlease.WatchEnded,
+		listlease.Unavailable, listlease.Incomplete, listlease.Unusable, listlease.WatchEnded,
 	} {
 		if got := watcher.CallCount(outcome); got != 1 {
 			t.Errorf("%d calls ended as %v, want 1", got, outcome)
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -114,7 +114,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	refusal := lifecycle.MayAccept(time.Now(), lifecycle.Listener{
+	refusal := lifecycle.MayAccept(time.Now(), lifecycle.Admission{
 		Draining:    s.draining,
 		RejectAt:    s.rejectAt,
 		Evicted:     client.lingers,
--- a/internal/lifecycle/accept.go
+++ b/internal/lifecycle/accept.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Listener is what is known of the clients' side when a request was read.
-type Listener struct {
+// Admission is what is known of the clients' side when a request was read.
+type Admission struct {
 	Draining    bool
 	RejectAt    time.Time // while it drains: requests are rejected from then on
 	Evicted     bool      // the client has been given its last answer
@@ -12,7 +12,7 @@
 
 // MayAccept is asked, with the time as it is then, whether a request that was read may be served.
 // Whatever the answer, the request is owed one.
-func MayAccept(now time.Time, listener Listener) Refusal {
+func MayAccept(now time.Time, listener Admission) Refusal {
 	switch {
 	case listener.Evicted:
 		return Evicted
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -65,7 +65,7 @@
 		return None
 	case attempt.EndpointDraining:
 		return EndpointDraining
-	case !attempt.List.MayRely(now):
+	case !attempt.List.IsValid(now):
 		return ListExpired
 	}
 	return None
@@ -75,7 +75,7 @@
 func (m *Machine) MayStartAttempt() Refusal {
 	switch {
 	case m.state == Attempting:
-		return AttemptOut
+		return AttemptInProgress
 	case m.state == ClientGone:
 		return ClientHasLeft
 	case m.state.HasAnswer():
@@ -104,7 +104,7 @@
 	case m.state.IsMigrating():
 		return AlreadyMigrating
 	case m.state.IsOffered():
-		return SuccessorDecides
+		return HandoverInProgress
 	case m.state == ClientGone:
 		return ClientHasLeft
 	}
@@ -119,7 +119,7 @@
 	case m.state.IsMigrating():
 		return AlreadyMigrating
 	case m.state == HandingOver || m.state.IsOffered():
-		return SuccessorDecides
+		return HandoverInProgress
 	case m.state == ClientGone:
 		return ClientHasLeft
 	}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -27,7 +27,7 @@
 		MigrationRequested: HandoverRevoked, SuccessorAsked: Offered, ClientLeft: ClientGone, CloseBegun: Closing,
 	},
 	HandoverRevoked: {ClientLeft: ClientGone, CloseBegun: Closing, SuccessorAsked: HandoverRevoked},
-	Offered:         {SuccessorTook: HandedOver, SuccessorRefused: Migrating, ClientLeft: Offered},
+	Offered:         {SuccessorAccepted: HandedOver, SuccessorRefused: Migrating, ClientLeft: Offered},
 	HandedOver:      {CloseBegun: Closing, ClientLeft: HandedOver},
 	ClientGone:      {CloseBegun: Closing, AttemptEnded: ClientGone, ClientLeft: ClientGone, SuccessorAsked: ClientGone},
 	Closing:         {CloseEnded: Closed, AttemptEnded: Closing, ClientLeft: Closing},
@@ -54,14 +54,14 @@
 // refusals has, for each state, why there may be no attempt, answer, migration, hand-over and close.
 var refusals = map[State]struct{ start, send, answer, migrate, handOver, close Refusal }{
 	Waiting:         {None, None, None, NotEstablished, NotEstablished, Unanswered},
-	Attempting:      {AttemptOut, None, None, NotEstablished, NotEstablished, Unanswered},
+	Attempting:      {AttemptInProgress, None, None, NotEstablished, NotEstablished, Unanswered},
 	Answered:        {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, NotEstablished, NotEstablished, None},
 	Established:     {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, None, None, None},
 	Migrating:       {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, AlreadyMigrating, AlreadyMigrating, None},
-	HandingOver:     {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, None, SuccessorDecides, None},
+	HandingOver:     {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, None, HandoverInProgress, None},
 	HandoverRevoked: {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, AlreadyMigrating, AlreadyMigrating, None},
-	Offered:         {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, SuccessorDecides, SuccessorDecides, None},
-	HandedOver:      {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, SuccessorDecides, SuccessorDecides, None},
+	Offered:         {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, HandoverInProgress, HandoverInProgress, None},
+	HandedOver:      {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, HandoverInProgress, HandoverInProgress, None},
 	ClientGone:      {ClientHasLeft, ClientHasLeft, ClientHasLeft, ClientHasLeft, ClientHasLeft, None},
 	Closing:         {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, NotEstablished, NotEstablished, None},
 	Closed:          {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, NotEstablished, NotEstablished, None},
@@ -115,15 +115,15 @@
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name     string
-		listener Listener
+		listener Admission
 		want     Refusal
 	}{
-		{"usual", Listener{HasCapacity: true}, None},
-		{"full", Listener{}, NoCapacity},
-		{"drains, not yet", Listener{HasCapacity: true, Draining: true, RejectAt: now.Add(1)}, None},
-		{"drains", Listener{HasCapacity: true, Draining: true, RejectAt: now}, NodeDraining},
-		{"drains and full", Listener{Draining: true, RejectAt: now}, NodeDraining},
-		{"has had its answer", Listener{HasCapacity: true, Evicted: true}, Evicted},
+		{"usual", Admission{HasCapacity: true}, None},
+		{"full", Admission{}, NoCapacity},
+		{"drains, not yet", Admission{HasCapacity: true, Draining: true, RejectAt: now.Add(1)}, None},
+		{"drains", Admission{HasCapacity: true, Draining: true, RejectAt: now}, NodeDraining},
+		{"drains and full", Admission{Draining: true, RejectAt: now}, NodeDraining},
+		{"has had its answer", Admission{HasCapacity: true, Evicted: true}, Evicted},
 	}
 	for _, tt := range tests {
 		if got := MayAccept(now, tt.listener); got != tt.want {
@@ -135,15 +135,15 @@
 func TestMayRetry(t *testing.T) {
 	tests := []struct {
 		name   string
-		repeat Repeat
+		repeat Retry
 		want   Refusal
 	}{
-		{"has not run", Repeat{Effect: NonIdempotent}, None},
-		{"idempotent", Repeat{MayHaveRun: true}, None},
-		{"not idempotent", Repeat{MayHaveRun: true, Effect: NonIdempotent, InKeyScope: true, KeyWindow: 2}, MayHaveRun},
-		{"key known", Repeat{MayHaveRun: true, Effect: Keyed, InKeyScope: true, Elapsed: 1, KeyWindow: 2}, None},
-		{"key unknown", Repeat{MayHaveRun: true, Effect: Keyed, Elapsed: 1, KeyWindow: 2}, MayHaveRun},
-		{"key forgotten", Repeat{MayHaveRun: true, Effect: Keyed, InKeyScope: true, Elapsed: 2, KeyWindow: 2}, DeadlinePassed},
+		{"has not run", Retry{Idempotence: NonIdempotent}, None},
+		{"idempotent", Retry{MayHaveRun: true}, None},
+		{"not idempotent", Retry{MayHaveRun: true, Idempotence: NonIdempotent, InKeyScope: true, KeyWindow: 2}, MayHaveRun},
+		{"key known", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 1, KeyWindow: 2}, None},
+		{"key unknown", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, Elapsed: 1, KeyWindow: 2}, MayHaveRun},
+		{"key forgotten", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 2, KeyWindow: 2}, DeadlinePassed},
 	}
 	for _, tt := range tests {
 		if got := MayRetry(tt.repeat); got != tt.want {
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -5,21 +5,21 @@
 
 // The refusals.
 const (
-	None             Refusal = iota
-	AlreadyAnswered          // the session has its final answer
-	ClientHasLeft            // its client has closed the connection, or it broke
-	AttemptOut               // another attempt is out
-	DeadlinePassed           // the time for the answer, or for a repeat of the request, is over
-	EndpointDraining         // the endpoint is known to drain or to be gone
-	ListExpired              // the list that names the endpoint may not be relied on
-	MayHaveRun               // the request may have run, and must not be repeated
-	NotEstablished           // there is nothing to migrate or to hand over
-	AlreadyMigrating         // the client is to be sent MOVE already
-	SuccessorDecides         // the successor has been asked to take the session
-	Unanswered               // the request has no final answer
-	NodeDraining             // the node takes no new requests
-	Evicted                  // the client has been given its last answer
-	NoCapacity               // all sockets for clients are in use
+	None               Refusal = iota
+	AlreadyAnswered            // the session has its final answer
+	ClientHasLeft              // its client has closed the connection, or it broke
+	AttemptInProgress          // another attempt is out
+	DeadlinePassed             // the time for the answer, or for a repeat of the request, is over
+	EndpointDraining           // the endpoint is known to drain or to be gone
+	ListExpired                // the list that names the endpoint may not be relied on
+	MayHaveRun                 // the request may have run, and must not be repeated
+	NotEstablished             // there is nothing to migrate or to hand over
+	AlreadyMigrating           // the client is to be sent MOVE already
+	HandoverInProgress         // the successor has been asked to take the session
+	Unanswered                 // the request has no final answer
+	NodeDraining               // the node takes no new requests
+	Evicted                    // the client has been given its last answer
+	NoCapacity                 // all sockets for clients are in use
 	refusalCount
 )
 
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -6,33 +6,33 @@
 	"coralrelay/internal/mutation"
 )
 
-// Effect says whether a request may run more than once.
-type Effect int
+// Idempotence says whether a request may run more than once.
+type Idempotence int
 
 // The effects of a request.
 const (
-	Idempotent    Effect = iota // it may run any number of times
-	Keyed                       // some endpoints drop its repeats by key, for a while
-	NonIdempotent               // it must not run twice
+	Idempotent      Idempotence = iota // it may run any number of times
+	IdempotentByKey                    // some endpoints drop its repeats by key, for a while
+	NonIdempotent                      // it must not run twice
 )
 
-// Repeat is what is known of a request whose next attempt is considered.
-type Repeat struct {
-	MayHaveRun bool // an attempt of it may have run
-	Effect     Effect
-	InKeyScope bool          // the next endpoint knows the key of the first attempt that may have run
-	Elapsed    time.Duration // since that attempt was sent
-	KeyWindow  time.Duration // for how long endpoints remember keys
+// Retry is what is known of a request whose next attempt is considered.
+type Retry struct {
+	MayHaveRun  bool // an attempt of it may have run
+	Idempotence Idempotence
+	InKeyScope  bool          // the next endpoint knows the key of the first attempt that may have run
+	Elapsed     time.Duration // since that attempt was sent
+	KeyWindow   time.Duration // for how long endpoints remember keys
 }
 
 // MayRetry is asked before a request is sent to a further endpoint.
-func MayRetry(repeat Repeat) Refusal {
+func MayRetry(repeat Retry) Refusal {
 	switch {
 	case mutation.Enabled("repeat"):
 		return None
-	case !repeat.MayHaveRun || repeat.Effect == Idempotent:
+	case !repeat.MayHaveRun || repeat.Idempotence == Idempotent:
 		return None
-	case repeat.Effect == NonIdempotent || !repeat.InKeyScope:
+	case repeat.Idempotence == NonIdempotent || !repeat.InKeyScope:
 		return MayHaveRun
 	case repeat.Elapsed >= repeat.KeyWindow:
 		return DeadlinePassed
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -51,7 +51,7 @@
 	MigrationRequested              // the client is to be sent MOVE
 	HandoverRequested               // the session is to go to the successor
 	SuccessorAsked                  // the successor is offered the session
-	SuccessorTook                   // and has taken it
+	SuccessorAccepted               // and has taken it
 	SuccessorRefused                // and has not: the client is to be sent MOVE
 	ClientLeft                      // the client has closed its connection, or it broke
 	CloseBegun                      // both connections are being closed
@@ -102,8 +102,8 @@
 	{HandoverRevoked, ClientLeft}: ClientGone,
 	{HandoverRevoked, CloseBegun}: Closing,
 
-	{Offered, SuccessorTook}:    HandedOver,
-	{Offered, SuccessorRefused}: Migrating,
+	{Offered, SuccessorAccepted}: HandedOver,
+	{Offered, SuccessorRefused}:  Migrating,
 
 	{HandedOver, CloseBegun}: Closing,
 
--- a/internal/listlease/lease.go
+++ b/internal/listlease/lease.go
@@ -13,9 +13,9 @@
 	NotifyDelay = 6 * time.Second
 	// ReloadDelay is the same after a reload has named another address.
 	ReloadDelay = 4 * time.Second
-	// HoldUp is for how long a process may be held up between reading its clock and writing. The drain
+	// MaxProcessPause is for how long a process may be held up between reading its clock and writing. The drain
 	// grace has to cover it.
-	HoldUp = 150 * time.Millisecond
+	MaxProcessPause = 150 * time.Millisecond
 	// minUnansweredConnect is how long a connect goes unanswered at least where the network is silent: until its
 	// request has been sent a second time.
 	minUnansweredConnect = time.Second
@@ -30,10 +30,10 @@
 }
 
 // hurry is by how much a lease ends early because the drain grace does not cover a hold-up.
-func (t Terms) hurry() time.Duration { return max(0, HoldUp-t.DrainGrace) }
+func (t Terms) hurry() time.Duration { return max(0, MaxProcessPause-t.DrainGrace) }
 
 // spare is what the drain grace leaves beside a hold-up.
-func (t Terms) spare() time.Duration { return max(0, t.DrainGrace-HoldUp) }
+func (t Terms) spare() time.Duration { return max(0, t.DrainGrace-MaxProcessPause) }
 
 // Lease is until when the endpoint list may be relied on.
 type Lease struct {
@@ -47,9 +47,9 @@
 	wasReached bool
 }
 
-// Start returns the lease of a process that starts, with a list of a generation that it was given. hasList is not
+// New returns the lease of a process that starts, with a list of a generation that it was given. hasList is not
 // set if that list is empty.
-func Start(now time.Time, terms Terms, generation int64, hasList bool) *Lease {
+func New(now time.Time, terms Terms, generation int64, hasList bool) *Lease {
 	l := &Lease{terms: terms, generation: generation, vouchedAt: now}
 	if terms.Pushed && hasList {
 		l.limit = now.Add(terms.spare())
--- a/internal/listlease/lease_cases_test.go
+++ b/internal/listlease/lease_cases_test.go
@@ -16,7 +16,7 @@
 	{"a list is confirmed", Terms{DrainGrace: grace}, func(l *Lease) { l.Confirm(at(2*time.Second), 2) }, 8 * time.Second},
 	{"an old list comes late", Terms{DrainGrace: grace}, func(l *Lease) { l.Confirm(at(-time.Second), 2) }, NotifyDelay},
 	{"a grace shorter than a hold-up", Terms{DrainGrace: 50 * ms}, func(*Lease) {}, NotifyDelay - 100*ms},
-	{"no grace", Terms{}, func(*Lease) {}, NotifyDelay - HoldUp},
+	{"no grace", Terms{}, func(*Lease) {}, NotifyDelay - MaxProcessPause},
 	{"a reload", Terms{DrainGrace: grace}, func(l *Lease) {
 		l.Confirm(at(2*time.Second), 2)
 		l.ChangeAddress(at(2500 * ms))
--- a/internal/listlease/lease_test.go
+++ b/internal/listlease/lease_test.go
@@ -42,7 +42,7 @@
 		{Unanswered, 7 * time.Second, asConfirmed, asConfirmed},
 		{Incomplete, 5 * ms, asConfirmed, asConfirmed},
 		{Incomplete, 3 * time.Second, asConfirmed, asConfirmed},
-		{Spoilt, 5 * ms, asConfirmed, asConfirmed},
+		{Unusable, 5 * ms, asConfirmed, asConfirmed},
 		{NotMade, ms, asConfirmed, asConfirmed},
 		{Superseded, ms, asConfirmed, asConfirmed},
 		{WatchSilent, 2500 * ms, asConfirmed, asConfirmed},
@@ -52,7 +52,7 @@
 		covered[tt.outcome] = true
 		for _, watchEnds := range []bool{false, true} {
 			for _, reached := range []bool{false, true} {
-				l := Start(at(-time.Hour), Terms{DrainGrace: grace}, 1, true)
+				l := New(at(-time.Hour), Terms{DrainGrace: grace}, 1, true)
 				l.Confirm(at(0), 2)
 				want := tt.want
 				if watchEnds {
@@ -80,17 +80,17 @@
 // What else there is: starts, reloads, pushed lists, a grace that covers no hold-up.
 func TestLeaseEnds(t *testing.T) {
 	for _, tt := range slices.Concat(askedCases, endedWatchCases, pushedCases) {
-		l := Start(at(0), tt.terms, 1, true)
+		l := New(at(0), tt.terms, 1, true)
 		tt.play(l)
 		status := l.Status()
 		if got := status.ExpiresAt.Sub(at(0)); got != tt.want {
 			t.Errorf("%s: the lease ends at %v, want %v", tt.name, got, tt.want)
 		}
-		if !status.MayRely(status.ExpiresAt.Add(-1)) || status.MayRely(status.ExpiresAt) {
+		if !status.IsValid(status.ExpiresAt.Add(-1)) || status.IsValid(status.ExpiresAt) {
 			t.Errorf("%s: the list may be relied on until the lease ends, and no longer", tt.name)
 		}
 	}
-	if status := Start(at(0), pushed, 0, false).Status(); status.ExpiresAt != at(NotifyDelay) {
+	if status := New(at(0), pushed, 0, false).Status(); status.ExpiresAt != at(NotifyDelay) {
 		t.Errorf("a start without a list: the lease ends at %v", status.ExpiresAt)
 	}
 }
@@ -98,7 +98,7 @@
 // A list that nobody follows may be relied on without end.
 func TestZeroStatus(t *testing.T) {
 	var status Status
-	if !status.MayRely(at(0)) || status.Expired(at(0)) != 0 || status.Age(at(0)) != NeverConfirmed {
+	if !status.IsValid(at(0)) || status.SinceExpiry(at(0)) != 0 || status.Age(at(0)) != NeverConfirmed {
 		t.Errorf("%+v", status)
 	}
 }
@@ -108,7 +108,7 @@
 func TestLeaseNeverOutlastsItsEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{DrainGrace: time.Duration(rapid.IntRange(0, 500).Draw(t, "grace")) * ms, Pushed: rapid.Bool().Draw(t, "pushed")}
-		l := Start(at(0), terms, 1, rapid.Bool().Draw(t, "has list"))
+		l := New(at(0), terms, 1, rapid.Bool().Draw(t, "has list"))
 		now, vouched := time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms
@@ -131,7 +131,7 @@
 				after := l.Status()
 				switch call.Outcome {
 				case ConnectRefused, ConnectTimedOut:
-					if !before.MayRely(call.BegunAt) && after.ExpiresAt.After(before.ExpiresAt) {
+					if !before.IsValid(call.BegunAt) && after.ExpiresAt.After(before.ExpiresAt) {
 						t.Fatalf("%v renewed a lease that had ended", call.Outcome)
 					}
 					vouched = max(vouched, now) // at the most
--- a/internal/listlease/outcome.go
+++ b/internal/listlease/outcome.go
@@ -19,7 +19,7 @@
 	Reset                          // ended or broke before the answer's header had come
 	Unanswered                     // no whole header came in the time for it
 	Incomplete                     // a header came, and no whole list
-	Spoilt                         // a list came that can't be used: malformed, or older than the one held
+	Unusable                       // a list came that can't be used: malformed, or older than the one held
 	Superseded                     // ended by this process: another call has won, or the address changed
 	OutcomeCount                   // how many outcomes there are
 )
@@ -39,8 +39,8 @@
 // duration is how long the call took.
 func (c Call) duration() time.Duration { return c.EndedAt.Sub(c.BegunAt) }
 
-// WaitedInVain reports whether discovery took the call, let it wait and had no time for it.
-func (c Call) WaitedInVain() bool {
+// TimedOutInQueue reports whether discovery took the call, let it wait and had no time for it.
+func (c Call) TimedOutInQueue() bool {
 	switch c.Outcome {
 	case Unavailable, Reset, Unanswered:
 		return c.duration() >= minQueueWait
--- a/internal/listlease/status.go
+++ b/internal/listlease/status.go
@@ -21,11 +21,11 @@
 	return now.Sub(s.ConfirmedAt)
 }
 
-// MayRely reports whether an attempt may begin by the list now.
-func (s Status) MayRely(now time.Time) bool { return s.ExpiresAt.IsZero() || now.Before(s.ExpiresAt) }
+// IsValid reports whether an attempt may begin by the list now.
+func (s Status) IsValid(now time.Time) bool { return s.ExpiresAt.IsZero() || now.Before(s.ExpiresAt) }
 
-// Expired is for how long the list may not be relied on any more; negative while it may, 0 if it always may.
-func (s Status) Expired(now time.Time) time.Duration {
+// SinceExpiry is for how long the list may not be relied on any more; negative while it may, 0 if it always may.
+func (s Status) SinceExpiry(now time.Time) time.Duration {
 	if s.ExpiresAt.IsZero() {
 		return 0
 	}
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -71,7 +71,7 @@
 	case state == lifecycle.HandoverRevoked:
 		return s.closeUpstream(upstream, EndMigrated)
 	case successor.Take(offer, s.client.Conn, upstream.Conn):
-		s.applyNow(lifecycle.SuccessorTook)
+		s.applyNow(lifecycle.SuccessorAccepted)
 		return EndHandedOver
 	}
 	s.applyNow(lifecycle.SuccessorRefused)
--- a/internal/proxy/life.go
+++ b/internal/proxy/life.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if late := now.Sub(s.Deadline); late > lateAnswerAllowance {
-		audit.Violate(audit.AnsweredTooLate, s.ID, "late", late)
+		audit.ReportViolation(audit.AnsweredTooLate, s.ID, "late", late)
 	}
 }
 
@@ -36,7 +36,7 @@
 	refusal := s.life.MayClose()
 	s.mu.Unlock()
 	if refusal != lifecycle.None {
-		audit.Violate(audit.ClosedUnanswered, s.ID)
+		audit.ReportViolation(audit.ClosedUnanswered, s.ID)
 	}
 }
 
@@ -45,7 +45,7 @@
 	from := s.life.State()
 	changed, ok := s.life.Apply(event)
 	if !ok {
-		audit.Violate(audit.ImpossibleTransition, s.ID, "event", event.String(), "state", from.String())
+		audit.ReportViolation(audit.ImpossibleTransition, s.ID, "event", event.String(), "state", from.String())
 	}
 	if changed {
 		audit.StateChanged(s.ID, event, from, s.life.State())
@@ -75,8 +75,8 @@
 	switch refusal {
 	case lifecycle.None:
 		s.apply(lifecycle.AttemptStarted)
-	case lifecycle.AttemptOut:
-		audit.Violate(audit.SecondAttemptOut, s.ID)
+	case lifecycle.AttemptInProgress:
+		audit.ReportViolation(audit.ConcurrentAttempt, s.ID)
 	}
 	return refusal
 }
--- a/internal/refmodel/crowd_after_outage_test.go
+++ b/internal/refmodel/crowd_after_outage_test.go
@@ -63,7 +63,7 @@
 			if status.ConfirmedAt.After(vouchedAt) {
 				vouchedAt = status.ConfirmedAt
 			}
-			if status.MayRely(now) && now.Sub(vouchedAt) > notifyDeadline+samplePause {
+			if status.IsValid(now) && now.Sub(vouchedAt) > notifyDeadline+samplePause {
 				overdue[f] = true
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -11,7 +11,7 @@
 type Route struct {
 	Path, Account string // its path, and the account at the top of it
 	Contract      string
-	Bound         *balance.ZoneConstraint // nil for anywhere
+	Constraint    *balance.ZoneConstraint // nil for anywhere
 	RejectedShare float64                 // of its set-ups, those that its contract has no capacity for
 	Levels        []string                // paths that it counts on: account, teams, the route itself
 }
@@ -41,7 +41,7 @@
 	if found, ok := t.allocations[entry.Contract]; ok && entry.Contract != "" {
 		allocation, compiled.RejectedShare = &found, found.RejectedShare
 	}
-	compiled.Bound = resolveBound(entry, allocation, t.readyEndpoints)
+	compiled.Constraint = resolveBound(entry, allocation, t.readyEndpoints)
 	for i, letter := range entry.Owner {
 		if letter == '/' {
 			compiled.Levels = append(compiled.Levels, entry.Owner[:i])
--- a/internal/route/snapshot/build_test.go
+++ b/internal/route/snapshot/build_test.go
@@ -50,7 +50,7 @@
 				t.Fatal(err)
 			}
 			got := "<nil>"
-			if bound := table.Find(route.Query{Class: "feed"}).Bound; bound != nil {
+			if bound := table.Find(route.Query{Class: "feed"}).Constraint; bound != nil {
 				got = fmt.Sprint(bound.Zones)
 			}
 			if got != tt.want {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -113,8 +113,8 @@
 				if (got == nil) != (want == nil) || got != nil && got.Path != want.Path() {
 					t.Fatalf("%+v: found %+v, want %+v", query, got, want)
 				}
-				if got != nil && fmt.Sprint(got.Bound) != fmt.Sprint(compiled.Find(query).Bound) {
-					t.Fatalf("%+v: bound to %+v, want %+v", query, got.Bound, compiled.Find(query).Bound)
+				if got != nil && fmt.Sprint(got.Constraint) != fmt.Sprint(compiled.Find(query).Constraint) {
+					t.Fatalf("%+v: bound to %+v, want %+v", query, got.Constraint, compiled.Find(query).Constraint)
 				}
 			}
 		}
@@ -153,7 +153,7 @@
 	}
 	const wantLevels = "[acme acme/web acme/web/eu acme/web/eu:all]"
 	found := table.Find(Query{})
-	if found.Account != "acme" || fmt.Sprint(found.Levels) != wantLevels || found.Bound != nil {
+	if found.Account != "acme" || fmt.Sprint(found.Levels) != wantLevels || found.Constraint != nil {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -20,7 +20,7 @@
 )
 
 // maxWriteDelay is how long the process may be held up between reading its clock and a write.
-const maxWriteDelay = listlease.HoldUp
+const maxWriteDelay = listlease.MaxProcessPause
 
 // attempt is one attempt of a session: a connection, the session's first line sent on it, and the
 // endpoint's reply.
@@ -153,18 +153,18 @@
 func (a *attempt) auditSend(now time.Time) {
 	id := a.session.ID
 	if now.After(a.deadline.Add(maxWriteDelay)) {
-		audit.Violate(audit.SentTooLate, id, "endpoint", a.endpoint.id, "late", now.Sub(a.deadline))
+		audit.ReportViolation(audit.SentTooLate, id, "endpoint", a.endpoint.id, "late", now.Sub(a.deadline))
 	}
 	if a.session.CurrentServer != "" {
 		return
 	}
 	grace := a.pool.limits.Load().DrainGrace
 	if !a.endpoint.acceptsTraffic(now, grace) {
-		audit.Violate(audit.SentWhileDraining, id, "endpoint", a.endpoint.id)
+		audit.ReportViolation(audit.SentWhileDraining, id, "endpoint", a.endpoint.id)
 	}
-	if list := a.pool.listStatus(); list.Expired(now) > max(grace, maxWriteDelay) {
-		audit.Violate(audit.SentByExpiredList, id, "endpoint", a.endpoint.id, "generation", list.Generation,
-			"expired", list.Expired(now))
+	if list := a.pool.listStatus(); list.SinceExpiry(now) > max(grace, maxWriteDelay) {
+		audit.ReportViolation(audit.SentByExpiredList, id, "endpoint", a.endpoint.id, "generation", list.Generation,
+			"expired", list.SinceExpiry(now))
 	}
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -159,7 +159,7 @@
 // MayBegin reports whether a new flow may be bound to an endpoint: CanSend must hold, and the lease
 // of the list that names the endpoint must be valid.
 func (p *Pool) MayBegin(server string, now time.Time) bool {
-	return p.CanSend(server, now) && p.listStatus().MayRely(now)
+	return p.CanSend(server, now) && p.listStatus().IsValid(now)
 }
 
 // IsResponsive reports whether an endpoint answered its last probe. It is true before the first
