--- a/internal/lifecycle/accept.go
+++ b/internal/lifecycle/accept.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Admission is what is known of the clients' side when a request was read.
+// Admission is the state of the client side at the time at which a request has been read.
 type Admission struct {
 	Draining    bool
-	RejectAt    time.Time // while it drains: requests are rejected from then on
-	Evicted     bool      // the client has been given its last answer
-	HasCapacity bool      // there are sockets for the client and its attempt
+	RejectAt    time.Time // while the node drains, it rejects requests from this time on
+	Evicted     bool      // the client has been sent its last answer, and its connection lingers
+	HasCapacity bool      // sockets are available for the client and its attempt
 }
 
-// MayAccept is asked, with the time as it is then, whether a request that was read may be served.
-// Whatever the answer, the request is owed one.
-func MayAccept(now time.Time, listener Admission) Refusal {
+// MayAccept checks at time now whether a request that has been read may be served. A refused request
+// must still be answered.
+func MayAccept(now time.Time, admission Admission) Refusal {
 	switch {
-	case listener.Evicted:
+	case admission.Evicted:
 		return Evicted
-	case listener.Draining && !now.Before(listener.RejectAt):
+	case admission.Draining && !now.Before(admission.RejectAt):
 		return NodeDraining
-	case !listener.HasCapacity:
+	case !admission.HasCapacity:
 		return NoCapacity
 	}
 	return None
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -6,53 +6,54 @@
 	"coralrelay/internal/listlease"
 )
 
-// Machine is the life of one session.
+// Machine is the state machine of one session. The zero Machine is Waiting.
 type Machine struct {
 	state State
 }
 
-// State returns where the session stands.
+// State returns the current state of the session.
 func (m *Machine) State() State { return m.state }
 
-// Apply takes an event. changed reports whether the state is another one now. ok is false if the event
-// can't happen in this state, which violates an invariant; the state stays then.
+// Apply processes an event. The result changed reports whether the state has changed. The result ok is
+// false if the event is impossible in the current state, which violates an invariant; the state is then
+// left unchanged.
 func (m *Machine) Apply(event Event) (changed, ok bool) {
-	consequence := consequences[m.state][event]
-	if consequence.changes {
-		m.state = consequence.next
+	result := transitionTable[m.state][event]
+	if result.changes {
+		m.state = result.next
 	}
-	return consequence.changes, consequence.possible
+	return result.changes, result.possible
 }
 
-// consequence is what an event in a state leads to.
-type consequence struct {
+// transition is the result of an event in a state.
+type transition struct {
 	possible, changes bool
 	next              State
 }
 
-// consequences has all states and events, as transitions and ignored say: a session looks it up for each
-// event.
-var consequences = func() (table [stateCount][eventCount]consequence) {
-	for happened, next := range transitions {
-		table[happened.from][happened.event] = consequence{possible: true, changes: true, next: next}
+// transitionTable holds the transition of each event in each state. It is compiled from nextStates and
+// ignoredEvents into an array, as it is read for each event of a session.
+var transitionTable = func() (table [stateCount][eventCount]transition) {
+	for key, next := range nextStates {
+		table[key.from][key.event] = transition{possible: true, changes: true, next: next}
 	}
-	for happened := range ignored {
-		table[happened.from][happened.event] = consequence{possible: true}
+	for key := range ignoredEvents {
+		table[key.from][key.event] = transition{possible: true}
 	}
 	return table
 }()
 
-// Attempt is what is known of an attempt right before its first byte is written.
+// Attempt describes an attempt immediately before its first byte is written.
 type Attempt struct {
-	Deadline         time.Time        // for its answer, or the end of the time in which a repeat does no harm
-	ClientHasLeft    bool             // as the client's socket says now
-	EndpointDraining bool             // the endpoint is known to drain or to be gone
-	Reattach         bool             // the endpoint holds the session already: that it drains does not matter
-	List             listlease.Status // of the list by which the endpoint was chosen
+	Deadline         time.Time        // of the answer, or the end of the retry window
+	ClientHasLeft    bool             // according to the client's socket
+	EndpointDraining bool             // the endpoint is known to be draining or removed
+	Reattach         bool             // the endpoint holds the session, and takes it back even while draining
+	List             listlease.Status // of the endpoint list from which the endpoint was chosen
 }
 
-// MayAttempt is asked right before the first byte of an attempt is written, with the time as it is
-// then. The session must be Attempting.
+// MayAttempt checks at time now, immediately before the first byte of an attempt is written, whether the
+// attempt may be sent. The session must be Attempting.
 func (m *Machine) MayAttempt(now time.Time, attempt Attempt) Refusal {
 	switch {
 	case m.state == ClientGone || attempt.ClientHasLeft:
@@ -71,7 +72,8 @@
 	return None
 }
 
-// MayStartAttempt is asked before anything is done for an attempt: one is out at a time.
+// MayStartAttempt checks whether an attempt may be prepared. A session has at most one attempt in
+// progress.
 func (m *Machine) MayStartAttempt() Refusal {
 	switch {
 	case m.state == Attempting:
@@ -84,8 +86,8 @@
 	return None
 }
 
-// MayAnswer is asked before the final answer is given: there is exactly one, and none for a client
-// that has left.
+// MayAnswer checks whether the final answer may be sent. A session has exactly one final answer, or none
+// if its client has left.
 func (m *Machine) MayAnswer() Refusal {
 	switch {
 	case m.state == ClientGone:
@@ -96,7 +98,7 @@
 	return None
 }
 
-// MayMigrate is asked before the client is to be sent MOVE.
+// MayMigrate checks whether MOVE may be sent to the client.
 func (m *Machine) MayMigrate() Refusal {
 	switch {
 	case m.state == Established || m.state == HandingOver:
@@ -111,7 +113,7 @@
 	return NotEstablished
 }
 
-// MayHandOver is asked before the session is to go to the successor.
+// MayHandOver checks whether the session may be handed over to the successor process.
 func (m *Machine) MayHandOver() Refusal {
 	switch {
 	case m.state == Established:
@@ -126,7 +128,7 @@
 	return NotEstablished
 }
 
-// MayClose is asked before the client's connection is closed: not while a request is unanswered.
+// MayClose checks whether the client's connection may be closed: not while its request is unanswered.
 func (m *Machine) MayClose() Refusal {
 	if !m.state.HasAnswer() {
 		return Unanswered
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -9,9 +9,9 @@
 	"coralrelay/internal/listlease"
 )
 
-// lives is the whole table: for each state the events that change it, those that change nothing (their
-// own state) and, left out, those that can't happen.
-var lives = map[State]map[Event]State{
+// wantStates is the complete transition table: for each state, the state after each possible event. An
+// event that is ignored leaves the state as it is; an event that is impossible is left out.
+var wantStates = map[State]map[Event]State{
 	Waiting: {
 		AttemptStarted: Attempting, AnswerChosen: Answered, UpReceived: Established, ClientLeft: ClientGone,
 	},
@@ -39,7 +39,7 @@
 		for event := range eventCount {
 			m := Machine{state: state}
 			changed, ok := m.Apply(event)
-			want, known := lives[state][event]
+			want, known := wantStates[state][event]
 			if !known {
 				want = state
 			}
@@ -51,8 +51,9 @@
 	}
 }
 
-// refusals has, for each state, why there may be no attempt, answer, migration, hand-over and close.
-var refusals = map[State]struct{ start, send, answer, migrate, handOver, close Refusal }{
+// wantRefusals holds, for each state, the result of each check: starting an attempt, sending it, answering,
+// migrating, handing over and closing.
+var wantRefusals = map[State]struct{ start, send, answer, migrate, handOver, close Refusal }{
 	Waiting:         {None, None, None, NotEstablished, NotEstablished, Unanswered},
 	Attempting:      {AttemptInProgress, None, None, NotEstablished, NotEstablished, Unanswered},
 	Answered:        {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, NotEstablished, NotEstablished, None},
@@ -67,21 +68,22 @@
 	Closed:          {AlreadyAnswered, AlreadyAnswered, AlreadyAnswered, NotEstablished, NotEstablished, None},
 }
 
-func TestWhatMayHappenInEachState(t *testing.T) {
+func TestEveryCheckInEveryState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for state := range stateCount {
-		m, want := Machine{state: state}, refusals[state]
+		m, want := Machine{state: state}, wantRefusals[state]
 		got := []Refusal{m.MayStartAttempt(), m.MayAttempt(now, Attempt{Deadline: now.Add(1)}), m.MayAnswer(),
 			m.MayMigrate(), m.MayHandOver(), m.MayClose()}
 		for i, refusal := range []Refusal{want.start, want.send, want.answer, want.migrate, want.handOver, want.close} {
 			if got[i] != refusal {
-				t.Errorf("%v, question %d: %v, want %v", state, i, got[i], refusal)
+				t.Errorf("%v, check %d: %v, want %v", state, i, got[i], refusal)
 			}
 		}
 	}
 }
 
-// What is known right before the write decides, in this order: the client, the time, the endpoint, the list.
+// If several reasons forbid an attempt, MayAttempt returns the first of: the client has left, the deadline
+// has passed, the endpoint drains, the list has expired.
 func TestMayAttempt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	expired, valid := listlease.Status{ExpiresAt: now}, listlease.Status{ExpiresAt: now.Add(1)}
@@ -90,18 +92,18 @@
 		attempt Attempt
 		want    Refusal
 	}{
-		{"in time", Attempt{Deadline: now.Add(1)}, None},
+		{"before its deadline", Attempt{Deadline: now.Add(1)}, None},
 		{"at its deadline", Attempt{Deadline: now}, DeadlinePassed},
 		{"after its deadline", Attempt{Deadline: now.Add(-1)}, DeadlinePassed},
 		{"client has left", Attempt{Deadline: now.Add(1), ClientHasLeft: true}, ClientHasLeft},
-		{"client has left a draining endpoint", Attempt{ClientHasLeft: true, EndpointDraining: true}, ClientHasLeft},
+		{"client has left and endpoint drains", Attempt{ClientHasLeft: true, EndpointDraining: true}, ClientHasLeft},
 		{"endpoint drains", Attempt{Deadline: now.Add(1), EndpointDraining: true}, EndpointDraining},
-		{"draining endpoint has it", Attempt{Deadline: now.Add(1), EndpointDraining: true, Reattach: true}, None},
-		{"too late for the one that has it", Attempt{Deadline: now, EndpointDraining: true, Reattach: true}, DeadlinePassed},
-		{"by a list that is confirmed", Attempt{Deadline: now.Add(1), List: valid}, None},
-		{"by a list that is not", Attempt{Deadline: now.Add(1), List: expired}, ListExpired},
-		{"by a list that is not, to the one that has it", Attempt{Deadline: now.Add(1), List: expired, Reattach: true}, None},
-		{"endpoint drains by a list that is not confirmed", Attempt{Deadline: now.Add(1), EndpointDraining: true, List: expired}, EndpointDraining},
+		{"reattach to a draining endpoint", Attempt{Deadline: now.Add(1), EndpointDraining: true, Reattach: true}, None},
+		{"reattach at the deadline", Attempt{Deadline: now, EndpointDraining: true, Reattach: true}, DeadlinePassed},
+		{"list valid", Attempt{Deadline: now.Add(1), List: valid}, None},
+		{"list expired", Attempt{Deadline: now.Add(1), List: expired}, ListExpired},
+		{"reattach with an expired list", Attempt{Deadline: now.Add(1), List: expired, Reattach: true}, None},
+		{"endpoint drains and list expired", Attempt{Deadline: now.Add(1), EndpointDraining: true, List: expired}, EndpointDraining},
 	}
 	for _, tt := range tests {
 		m := Machine{state: Attempting}
@@ -114,19 +116,19 @@
 func TestMayAccept(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
-		name     string
-		listener Admission
-		want     Refusal
+		name      string
+		admission Admission
+		want      Refusal
 	}{
-		{"usual", Admission{HasCapacity: true}, None},
-		{"full", Admission{}, NoCapacity},
-		{"drains, not yet", Admission{HasCapacity: true, Draining: true, RejectAt: now.Add(1)}, None},
-		{"drains", Admission{HasCapacity: true, Draining: true, RejectAt: now}, NodeDraining},
-		{"drains and full", Admission{Draining: true, RejectAt: now}, NodeDraining},
-		{"has had its answer", Admission{HasCapacity: true, Evicted: true}, Evicted},
+		{"capacity left", Admission{HasCapacity: true}, None},
+		{"no capacity", Admission{}, NoCapacity},
+		{"drains, before RejectAt", Admission{HasCapacity: true, Draining: true, RejectAt: now.Add(1)}, None},
+		{"drains, at RejectAt", Admission{HasCapacity: true, Draining: true, RejectAt: now}, NodeDraining},
+		{"drains and no capacity", Admission{Draining: true, RejectAt: now}, NodeDraining},
+		{"client has its last answer", Admission{HasCapacity: true, Evicted: true}, Evicted},
 	}
 	for _, tt := range tests {
-		if got := MayAccept(now, tt.listener); got != tt.want {
+		if got := MayAccept(now, tt.admission); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -134,32 +136,32 @@
 
 func TestMayRetry(t *testing.T) {
 	tests := []struct {
-		name   string
-		repeat Retry
-		want   Refusal
+		name  string
+		retry Retry
+		want  Refusal
 	}{
-		{"has not run", Retry{Idempotence: NonIdempotent}, None},
+		{"cannot have run", Retry{Idempotence: NonIdempotent}, None},
 		{"idempotent", Retry{MayHaveRun: true}, None},
 		{"not idempotent", Retry{MayHaveRun: true, Idempotence: NonIdempotent, InKeyScope: true, KeyWindow: 2}, MayHaveRun},
-		{"key known", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 1, KeyWindow: 2}, None},
-		{"key unknown", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, Elapsed: 1, KeyWindow: 2}, MayHaveRun},
-		{"key forgotten", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 2, KeyWindow: 2}, DeadlinePassed},
+		{"in key scope", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 1, KeyWindow: 2}, None},
+		{"outside key scope", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, Elapsed: 1, KeyWindow: 2}, MayHaveRun},
+		{"key window has passed", Retry{MayHaveRun: true, Idempotence: IdempotentByKey, InKeyScope: true, Elapsed: 2, KeyWindow: 2}, DeadlinePassed},
 	}
 	for _, tt := range tests {
-		if got := MayRetry(tt.repeat); got != tt.want {
+		if got := MayRetry(tt.retry); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// course is one course of a session, in which each thing is asked for before it happens.
-type course struct {
+// checkedSession is a session in which each event is applied only if its check permits it.
+type checkedSession struct {
 	Machine
-	answers, attemptsOut int
+	answerCount, inProgress int // final answers sent; attempts in progress
 }
 
-// questions are asked before an event; those that have none come as they please.
-var questions = map[Event]func(*Machine) Refusal{
+// checks holds the check before each event. An event without a check can occur at any time.
+var checks = map[Event]func(*Machine) Refusal{
 	AttemptStarted:     (*Machine).MayStartAttempt,
 	AnswerChosen:       (*Machine).MayAnswer,
 	UpReceived:         (*Machine).MayAnswer,
@@ -168,44 +170,44 @@
 	CloseBegun:         (*Machine).MayClose,
 }
 
-// step has an event happen if it may.
-func (c *course) step(event Event) {
-	if ask := questions[event]; ask != nil && ask(&c.Machine) != None || event == AttemptEnded && c.attemptsOut == 0 {
+// step applies an event if it is permitted.
+func (s *checkedSession) step(event Event) {
+	if check := checks[event]; check != nil && check(&s.Machine) != None || event == AttemptEnded && s.inProgress == 0 {
 		return
 	}
-	c.Apply(event)
+	s.Apply(event)
 	switch event {
 	case AttemptStarted:
-		c.attemptsOut++
+		s.inProgress++
 	case AttemptEnded:
-		c.attemptsOut--
+		s.inProgress--
 	case AnswerChosen, UpReceived:
-		c.answers++
+		s.answerCount++
 	}
 }
 
-// Whatever comes in whatever order, as long as each thing is asked for first: there is one final answer
-// at most, none for a client that has left; one attempt is out at a time; nothing begins after the
-// answer; and no unanswered request is closed.
-func TestInvariantsHoldForAnyCourse(t *testing.T) {
+// For any sequence of events that the checks permit: a session has at most one final answer, and none if
+// its client has left; at most one attempt is in progress; no attempt begins after the answer; and the
+// connection of an unanswered request is not closed.
+func TestInvariantsHoldForAnySequenceOfEvents(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(t *rapid.T) {
-		var c course
+		var s checkedSession
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			before := c.State()
-			c.step(Event(rapid.IntRange(0, int(eventCount)-1).Draw(t, "event")))
-			after := c.State()
+			before := s.State()
+			s.step(Event(rapid.IntRange(0, int(eventCount)-1).Draw(t, "event")))
+			after := s.State()
 			switch {
 			case before.HasAnswer() && !after.HasAnswer():
 				t.Fatalf("%v became %v", before, after)
-			case after == Attempting && c.attemptsOut != 1:
-				t.Fatalf("%d attempts out in %v", c.attemptsOut, after)
-			case after.HasAnswer() && c.MayAttempt(now, Attempt{Deadline: now.Add(1)}) == None:
+			case after == Attempting && s.inProgress != 1:
+				t.Fatalf("%d attempts in progress in %v", s.inProgress, after)
+			case after.HasAnswer() && s.MayAttempt(now, Attempt{Deadline: now.Add(1)}) == None:
 				t.Fatalf("an attempt may be sent in %v", after)
-			case after.IsClosing() && c.answers == 0 && before != ClientGone && !before.IsClosing():
-				t.Fatalf("closed with no answer from %v", before)
-			case c.answers > 1:
-				t.Fatalf("%d answers", c.answers)
+			case after.IsClosing() && s.answerCount == 0 && before != ClientGone && !before.IsClosing():
+				t.Fatalf("closed without an answer from %v", before)
+			case s.answerCount > 1:
+				t.Fatalf("%d answers", s.answerCount)
 			}
 		}
 	})
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -1,24 +1,24 @@
 package lifecycle
 
-// Refusal is why something may not happen now. None means that it may.
+// Refusal is the reason why an operation is not permitted. None means that it is permitted.
 type Refusal int
 
 // The refusals.
 const (
 	None               Refusal = iota
 	AlreadyAnswered            // the session has its final answer
-	ClientHasLeft              // its client has closed the connection, or it broke
-	AttemptInProgress          // another attempt is out
-	DeadlinePassed             // the time for the answer, or for a repeat of the request, is over
-	EndpointDraining           // the endpoint is known to drain or to be gone
-	ListExpired                // the list that names the endpoint may not be relied on
-	MayHaveRun                 // the request may have run, and must not be repeated
-	NotEstablished             // there is nothing to migrate or to hand over
-	AlreadyMigrating           // the client is to be sent MOVE already
-	HandoverInProgress         // the successor has been asked to take the session
+	ClientHasLeft              // the client has closed its connection, or the connection broke
+	AttemptInProgress          // another attempt of the session is in progress
+	DeadlinePassed             // the deadline of the answer, or the retry window, has passed
+	EndpointDraining           // the endpoint is known to be draining or removed
+	ListExpired                // the lease of the list that contains the endpoint has expired
+	MayHaveRun                 // an earlier attempt may have run, and the request must not run twice
+	NotEstablished             // the session is not established, so it cannot be migrated or handed over
+	AlreadyMigrating           // MOVE is already to be sent to the client
+	HandoverInProgress         // the session is being handed over to the successor
 	Unanswered                 // the request has no final answer
-	NodeDraining               // the node takes no new requests
-	Evicted                    // the client has been given its last answer
+	NodeDraining               // the node drains and accepts no new requests
+	Evicted                    // the client has been sent its last answer, and its connection lingers
 	NoCapacity                 // all sockets for clients are in use
 	refusalCount
 )
@@ -27,5 +27,5 @@
 	"deadline passed", "endpoint draining", "list expired", "may have run", "not established", "already migrating",
 	"successor decides", "unanswered", "node draining", "evicted", "no capacity"}
 
-// String returns the refusal as it stands in log lines.
+// String returns the text of the refusal in log lines.
 func (r Refusal) String() string { return refusalNames[r] }
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -6,35 +6,35 @@
 	"coralrelay/internal/mutation"
 )
 
-// Idempotence says whether a request may run more than once.
+// Idempotence states whether a request may run more than once.
 type Idempotence int
 
-// The effects of a request.
+// The kinds of idempotence.
 const (
-	Idempotent      Idempotence = iota // it may run any number of times
-	IdempotentByKey                    // some endpoints drop its repeats by key, for a while
-	NonIdempotent                      // it must not run twice
+	Idempotent      Idempotence = iota // the request may run any number of times
+	IdempotentByKey                    // endpoints in its key scope drop repeats within the key window
+	NonIdempotent                      // the request must not run twice
 )
 
-// Retry is what is known of a request whose next attempt is considered.
+// Retry describes a possible further attempt of a request.
 type Retry struct {
-	MayHaveRun  bool // an attempt of it may have run
+	MayHaveRun  bool // an earlier attempt may have run
 	Idempotence Idempotence
-	InKeyScope  bool          // the next endpoint knows the key of the first attempt that may have run
-	Elapsed     time.Duration // since that attempt was sent
-	KeyWindow   time.Duration // for how long endpoints remember keys
+	InKeyScope  bool          // the next endpoint drops repeats of the first attempt that may have run
+	Elapsed     time.Duration // since that first attempt was sent
+	KeyWindow   time.Duration // for which endpoints remember keys
 }
 
-// MayRetry is asked before a request is sent to a further endpoint.
-func MayRetry(repeat Retry) Refusal {
+// MayRetry checks whether a request may be sent to a further endpoint.
+func MayRetry(retry Retry) Refusal {
 	switch {
 	case mutation.Enabled("repeat"):
 		return None
-	case !repeat.MayHaveRun || repeat.Idempotence == Idempotent:
+	case !retry.MayHaveRun || retry.Idempotence == Idempotent:
 		return None
-	case repeat.Idempotence == NonIdempotent || !repeat.InKeyScope:
+	case retry.Idempotence == NonIdempotent || !retry.InKeyScope:
 		return MayHaveRun
-	case repeat.Elapsed >= repeat.KeyWindow:
+	case retry.Elapsed >= retry.KeyWindow:
 		return DeadlinePassed
 	}
 	return None
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -1,61 +1,60 @@
 package lifecycle
 
-// State is where a session stands.
+// State is the state of a session.
 type State int
 
 // The states of a session.
 const (
-	Waiting         State = iota // its request was read; it has no final answer, and no attempt is out
-	Attempting                   // an attempt is out
-	Answered                     // its final answer is a rejection or a failure
-	Established                  // its final answer is an endpoint's UP, and lines are relayed
-	Migrating                    // its client is to be sent MOVE
-	HandingOver                  // it goes to the successor between two lines
-	HandoverRevoked              // it was to go to the successor; its client is to be sent MOVE instead
-	Offered                      // the successor has been asked to take it
-	HandedOver                   // the successor serves it
-	ClientGone                   // its client has left
-	Closing                      // its connections are being closed
-	Closed                       // its connections are closed
+	Waiting         State = iota // the request has no final answer, and no attempt is in progress
+	Attempting                   // an attempt is in progress
+	Answered                     // the final answer is a rejection or a failure
+	Established                  // the final answer is an endpoint's UP, and lines are relayed
+	Migrating                    // MOVE is to be sent to the client
+	HandingOver                  // the session is to be offered to the successor process between two lines
+	HandoverRevoked              // the handover was cancelled; MOVE is to be sent to the client instead
+	Offered                      // the successor has been asked to take over the session
+	HandedOver                   // the successor serves the session
+	ClientGone                   // the client has left
+	Closing                      // the session's connections are being closed
+	Closed                       // the session's connections are closed
 	stateCount
 )
 
 var stateNames = [stateCount]string{"waiting", "attempting", "answered", "established", "migrating", "handing over",
 	"handover revoked", "offered", "handed over", "client gone", "closing", "closed"}
 
-// String returns the state as it stands in log lines.
+// String returns the name of the state in log lines.
 func (s State) String() string { return stateNames[s] }
 
-// HasAnswer reports whether the session needs no final answer any more: it has one, or its client
-// has left.
+// HasAnswer reports whether the session has its final answer, or needs none because its client has left.
 func (s State) HasAnswer() bool { return s != Waiting && s != Attempting }
 
-// IsMigrating reports whether the client is to be sent MOVE.
+// IsMigrating reports whether MOVE is to be sent to the client.
 func (s State) IsMigrating() bool { return s == Migrating || s == HandoverRevoked }
 
-// IsOffered reports whether the successor has been asked to take the session.
+// IsOffered reports whether the successor has been asked to take over the session.
 func (s State) IsOffered() bool { return s == Offered || s == HandedOver }
 
-// IsClosing reports whether the session's connections are being closed, or are closed.
+// IsClosing reports whether the session's connections are being closed or are closed.
 func (s State) IsClosing() bool { return s == Closing || s == Closed }
 
-// Event is what happens to a session.
+// Event is an event in the life cycle of a session.
 type Event int
 
 // The events of a session.
 const (
-	AttemptStarted     Event = iota // an attempt goes out
-	AttemptEnded                    // the attempt that was out has ended without UP
+	AttemptStarted     Event = iota // an attempt has begun
+	AttemptEnded                    // the attempt in progress has ended without UP
 	AnswerChosen                    // the final answer is a rejection or a failure
-	UpReceived                      // the endpoint has answered UP
-	MigrationRequested              // the client is to be sent MOVE
-	HandoverRequested               // the session is to go to the successor
-	SuccessorAsked                  // the successor is offered the session
-	SuccessorAccepted               // and has taken it
-	SuccessorRefused                // and has not: the client is to be sent MOVE
-	ClientLeft                      // the client has closed its connection, or it broke
-	CloseBegun                      // both connections are being closed
-	CloseEnded                      // and are closed
+	UpReceived                      // an endpoint has answered UP
+	MigrationRequested              // MOVE is to be sent to the client
+	HandoverRequested               // the session is to be handed over to the successor
+	SuccessorAsked                  // the successor has been asked to take over the session
+	SuccessorAccepted               // the successor has taken over the session
+	SuccessorRefused                // the successor has refused the session: MOVE is to be sent to the client
+	ClientLeft                      // the client has closed its connection, or the connection broke
+	CloseBegun                      // closing of both connections has begun
+	CloseEnded                      // both connections are closed
 	eventCount
 )
 
@@ -63,21 +62,22 @@
 	"migration requested", "handover requested", "successor asked", "successor took", "successor refused",
 	"client left", "close begun", "close ended"}
 
-// String returns the event as it stands in log lines.
+// String returns the name of the event in log lines.
 func (e Event) String() string { return eventNames[e] }
 
-// transition is an event in a state.
-type transition struct {
+// stateEvent is an event in a state, the key of a transition.
+type stateEvent struct {
 	from  State
 	event Event
 }
 
-// transitions says which state follows. What is not listed can't happen, unless ignored has it.
-var transitions = map[transition]State{
+// nextStates maps the events that change the state to the next state. An event that is neither here nor
+// in ignoredEvents is impossible in that state.
+var nextStates = map[stateEvent]State{
 	{Waiting, AttemptStarted}: Attempting,
 	{Waiting, AnswerChosen}:   Answered,
 	{Waiting, ClientLeft}:     ClientGone,
-	{Waiting, UpReceived}:     Established, // of an inherited session, which was established elsewhere
+	{Waiting, UpReceived}:     Established, // an inherited session, which another process has established
 
 	{Attempting, AttemptEnded}: Waiting,
 	{Attempting, UpReceived}:   Established,
@@ -112,18 +112,19 @@
 	{Closing, CloseEnded}: Closed,
 }
 
-// ignored are events that may come in a state and change nothing: they cross what has happened.
-var ignored = map[transition]bool{
-	{Answered, AttemptEnded}:          true, // the attempt was cancelled by the answer
+// ignoredEvents are the events that are possible in a state but do not change it: they were under way
+// when an earlier event changed the state.
+var ignoredEvents = map[stateEvent]bool{
+	{Answered, AttemptEnded}:          true, // the answer cancelled the attempt
 	{Answered, ClientLeft}:            true,
-	{ClientGone, AttemptEnded}:        true, // the attempt was cancelled as the client left
+	{ClientGone, AttemptEnded}:        true, // the attempt was cancelled because the client left
 	{ClientGone, ClientLeft}:          true,
-	{Offered, ClientLeft}:             true, // nobody reads: the successor will see it
+	{Offered, ClientLeft}:             true, // only the successor reads from the client now
 	{HandedOver, ClientLeft}:          true,
 	{Closing, ClientLeft}:             true,
 	{Closing, AttemptEnded}:           true,
 	{Closed, AttemptEnded}:            true,
 	{Closed, ClientLeft}:              true,
-	{HandoverRevoked, SuccessorAsked}: true, // it is not asked any more
+	{HandoverRevoked, SuccessorAsked}: true, // the session is not offered any more
 	{ClientGone, SuccessorAsked}:      true,
 }
--- a/internal/listlease/lease_test.go
+++ b/internal/listlease/lease_test.go
@@ -13,16 +13,17 @@
 	grace = 300 * ms
 )
 
-// at is a time of a test, from its begin.
+// at returns the time that is the given duration after the start of a test.
 func at(after time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(after) }
 
-// ended is a call that ended a while after its begin.
+// ended returns a call that began at a time after the start of the test and took a duration.
 func ended(begun, took time.Duration, outcome Outcome) Call {
 	return Call{BegunAt: at(begun), EndedAt: at(begun + took), Outcome: outcome}
 }
 
-// Each outcome of a call after a list that was confirmed at 0, whether or not the service ended a watch at 1 s: when the
-// lease ends, and when it ends if a connection has come up since.
+// The list is confirmed at 0 s, and a call ends with each of the outcomes. The table holds the end of the
+// lease without and with a connection that was established in between. Whether the service ended a watch
+// at 1 s makes no difference.
 func TestEvidenceOfCalls(t *testing.T) {
 	const asConfirmed = NotifyDelay
 	tests := []struct {
@@ -64,7 +65,7 @@
 				}
 				l.CallEnded(ended(2*time.Second, tt.took, tt.outcome))
 				if got := l.Status().ExpiresAt.Sub(at(0)); got != want {
-					t.Errorf("%v after %v, watch ended %v, reached %v: the lease ends at %v, want %v",
+					t.Errorf("%v after %v, watch ended %v, connected %v: the lease ends at %v, want %v",
 						tt.outcome, tt.took, watchEnds, reached, got, want)
 				}
 			}
@@ -77,25 +78,26 @@
 	}
 }
 
-// What else there is: starts, reloads, pushed lists, a grace that covers no hold-up.
+// The end of the lease after starts, reloads and ended watches, with pushed lists, and with a drain grace
+// that does not cover MaxProcessPause.
 func TestLeaseEnds(t *testing.T) {
-	for _, tt := range slices.Concat(askedCases, endedWatchCases, pushedCases) {
+	for _, tt := range slices.Concat(requestedCases, endedWatchCases, pushedCases) {
 		l := New(at(0), tt.terms, 1, true)
-		tt.play(l)
+		tt.apply(l)
 		status := l.Status()
 		if got := status.ExpiresAt.Sub(at(0)); got != tt.want {
 			t.Errorf("%s: the lease ends at %v, want %v", tt.name, got, tt.want)
 		}
 		if !status.IsValid(status.ExpiresAt.Add(-1)) || status.IsValid(status.ExpiresAt) {
-			t.Errorf("%s: the list may be relied on until the lease ends, and no longer", tt.name)
+			t.Errorf("%s: the list must be valid until the lease ends, and not afterwards", tt.name)
 		}
 	}
 	if status := New(at(0), pushed, 0, false).Status(); status.ExpiresAt != at(NotifyDelay) {
-		t.Errorf("a start without a list: the lease ends at %v", status.ExpiresAt)
+		t.Errorf("start without a list: the lease ends at %v", status.ExpiresAt)
 	}
 }
 
-// A list that nobody follows may be relied on without end.
+// A list without a lease never expires.
 func TestZeroStatus(t *testing.T) {
 	var status Status
 	if !status.IsValid(at(0)) || status.SinceExpiry(at(0)) != 0 || status.Age(at(0)) != NeverConfirmed {
@@ -103,20 +105,21 @@
 	}
 }
 
-// Whatever comes: the lease never outlasts the last moment that anything vouched for by more than NotifyDelay, no
-// outcome renews one that has ended, and those that a discovery which can be reached may give never renew it.
+// For any sequence of events: the lease ends at most NotifyDelay after the latest evidence for the list, no
+// outcome renews a lease that has ended, and an outcome that is possible with a reachable discovery
+// service never renews it.
 func TestLeaseNeverOutlastsItsEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{DrainGrace: time.Duration(rapid.IntRange(0, 500).Draw(t, "grace")) * ms, Pushed: rapid.Bool().Draw(t, "pushed")}
 		l := New(at(0), terms, 1, rapid.Bool().Draw(t, "has list"))
-		now, vouched := time.Duration(0), time.Duration(0)
+		now, evidence := time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms
 			before := l.Status()
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				l.Confirm(at(now), 2)
-				vouched = now
+				evidence = now
 			case 1:
 				l.ChangeAddress(at(now))
 				if l.Status().ExpiresAt.After(before.ExpiresAt) {
@@ -134,15 +137,15 @@
 					if !before.IsValid(call.BegunAt) && after.ExpiresAt.After(before.ExpiresAt) {
 						t.Fatalf("%v renewed a lease that had ended", call.Outcome)
 					}
-					vouched = max(vouched, now) // at the most
+					evidence = max(evidence, now) // at the latest
 				default:
 					if after.ExpiresAt.After(before.ExpiresAt) {
 						t.Fatalf("%v renewed the lease", call.Outcome)
 					}
 				}
 			}
-			if end := l.Status().ExpiresAt; end.After(at(vouched + NotifyDelay)) {
-				t.Fatalf("the lease ends at %v; vouched for at %v", end.Sub(at(0)), vouched)
+			if end := l.Status().ExpiresAt; end.After(at(evidence + NotifyDelay)) {
+				t.Fatalf("the lease ends at %v; latest evidence at %v", end.Sub(at(0)), evidence)
 			}
 		}
 	})
--- a/internal/listlease/outcome.go
+++ b/internal/listlease/outcome.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// minQueueWait is the shortest time after which a known discovery ends calls that have waited too long.
+// minQueueWait is the shortest time after which a discovery service is known to end calls that have waited
+// too long in its queue.
 const minQueueWait = time.Second
 
-// Outcome is how a call of discovery ended.
+// Outcome is the way in which a call to discovery ended.
 type Outcome int
 
 // The outcomes of a call.
 const (
-	WatchEnded      Outcome = iota // a watch that had confirmed the list was ended by the other side
-	WatchSilent                    // a watch that had confirmed the list fell silent
-	ConnectRefused                 // nobody listens
-	ConnectTimedOut                // the connection never came up
-	NotMade                        // not made for a reason of this process, such as no descriptor
-	Unavailable                    // answered with another status than 200
-	Reset                          // ended or broke before the answer's header had come
-	Unanswered                     // no whole header came in the time for it
-	Incomplete                     // a header came, and no whole list
-	Unusable                       // a list came that can't be used: malformed, or older than the one held
-	Superseded                     // ended by this process: another call has won, or the address changed
-	OutcomeCount                   // how many outcomes there are
+	WatchEnded      Outcome = iota // the service ended a watch that had confirmed the list
+	WatchSilent                    // no data arrived in time on a watch that had confirmed the list
+	ConnectRefused                 // the connection was refused
+	ConnectTimedOut                // the connection was not established in time
+	NotMade                        // the call failed in this process, such as for lack of a descriptor
+	Unavailable                    // the status of the answer was not 200
+	Reset                          // the connection ended or broke before the header was complete
+	Unanswered                     // no complete header arrived within its time limit
+	Incomplete                     // a header arrived, but no complete list
+	Unusable                       // the list was malformed, or older than the current one
+	Superseded                     // ended by this process: another call succeeded, or the address changed
+	OutcomeCount                   // number of outcomes
 )
 
 var outcomeNames = [OutcomeCount]string{"watch_ended", "watch_silent", "connect_refused", "connect_timed_out", "not_made",
 	"unavailable", "reset", "unanswered", "incomplete", "spoilt", "superseded"}
 
-// String returns the outcome as it stands in log lines and metrics.
+// String returns the name of the outcome in log lines and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Call is a call of discovery that has ended.
+// Call describes a call to discovery that has ended.
 type Call struct {
 	BegunAt, EndedAt time.Time
 	Outcome          Outcome
 }
 
-// duration is how long the call took.
+// duration returns the duration of the call.
 func (c Call) duration() time.Duration { return c.EndedAt.Sub(c.BegunAt) }
 
-// TimedOutInQueue reports whether discovery took the call, let it wait and had no time for it.
+// TimedOutInQueue reports whether discovery accepted the call, queued it and did not serve it in time.
 func (c Call) TimedOutInQueue() bool {
 	switch c.Outcome {
 	case Unavailable, Reset, Unanswered:
--- a/internal/listlease/status.go
+++ b/internal/listlease/status.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Status is what is known of the endpoint list at a moment. The zero Status is of a list that nobody follows, such as
-// a test's: it may be relied on without end.
+// Status is a snapshot of the lease of an endpoint list. The zero Status belongs to a list without a lease,
+// as tests use it: such a list never expires.
 type Status struct {
 	Generation  int64     // of the list
-	ConfirmedAt time.Time // when the list was last known to be the service's; zero if it never was
-	ExpiresAt   time.Time // from when on the list may not be relied on; zero for never
+	ConfirmedAt time.Time // when discovery last confirmed the list; zero if it never did
+	ExpiresAt   time.Time // from this time on the list may not be used; zero for never
 }
 
-// NeverConfirmed is the age of a list that was never confirmed.
+// NeverConfirmed is the Age of a list that has never been confirmed.
 const NeverConfirmed = -time.Millisecond
 
-// Age is how long ago the list was last confirmed.
+// Age returns the time since the list was last confirmed, or NeverConfirmed.
 func (s Status) Age(now time.Time) time.Duration {
 	if s.ConfirmedAt.IsZero() {
 		return NeverConfirmed
@@ -21,10 +21,10 @@
 	return now.Sub(s.ConfirmedAt)
 }
 
-// IsValid reports whether an attempt may begin by the list now.
+// IsValid reports whether an attempt may begin at an endpoint of the list at time now.
 func (s Status) IsValid(now time.Time) bool { return s.ExpiresAt.IsZero() || now.Before(s.ExpiresAt) }
 
-// SinceExpiry is for how long the list may not be relied on any more; negative while it may, 0 if it always may.
+// SinceExpiry returns the time since the lease expired: negative before that, and 0 if it never expires.
 func (s Status) SinceExpiry(now time.Time) time.Duration {
 	if s.ExpiresAt.IsZero() {
 		return 0
