--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -6,17 +6,18 @@
 	"coralrelay/balance"
 )
 
-// reattachInterval is the pause before a server is offered a placement again that it holds.
+// reattachInterval is the delay before a placement is offered again to the server that holds it.
 const reattachInterval = 100 * time.Millisecond
 
-// AttemptStarter makes the attempts for the placements of one listener. StartAttempt returns at
-// once; the attempt's result is reported to the EventLoop once, by AttemptEstablished or
-// AttemptEnded.
+// AttemptStarter makes the attempts for the placements of one listener. StartAttempt returns
+// immediately. The result of each attempt is reported to the EventLoop exactly once, with
+// AttemptEstablished or AttemptEnded.
 type AttemptStarter interface {
 	StartAttempt(placement Placement, attempt int, server string, deadline time.Time)
 }
 
-// startAttempt starts the attempt that the module asks for, within the placement's deadline.
+// startAttempt starts the attempt that the module requests. Its deadline is that of the placement or
+// the end of the attempt's time-out, whichever is earlier.
 func (l *EventLoop) startAttempt(now time.Time, action balance.Attempt) {
 	active := l.placements[action.ID]
 	if active == nil {
@@ -35,8 +36,8 @@
 	active.attemptCount++
 }
 
-// AttemptEstablished reports that a server has accepted an attempt, and after which time.
-// Whoever brought the placement owns the attempt's connection from now on.
+// AttemptEstablished reports that a server has accepted an attempt, and the latency of its answer.
+// From then on the listener that submitted the placement owns the attempt's connection.
 func (l *EventLoop) AttemptEstablished(placement Placement, attempt int, server string, latency time.Duration) {
 	l.post(func() {
 		active := l.lookup(placement)
@@ -58,8 +59,8 @@
 	})
 }
 
-// AttemptEnded reports that an attempt has ended without being established. Its socket must be
-// closed by then. The load is the server's, if its answer had a load report.
+// AttemptEnded reports that an attempt has ended without being established. Its socket must already
+// be closed. The load is the load report in the server's answer, if there was one.
 func (l *EventLoop) AttemptEnded(placement Placement, attempt int, server string, outcome balance.Outcome,
 	latency time.Duration, load balance.LoadReport) {
 	l.post(func() {
@@ -78,11 +79,11 @@
 	})
 }
 
-// retryReattach goes on with a placement that its server holds already and did not take back.
-// There is nothing to decide, and the module has not heard of it. The server is offered it
-// again while that is harmless and there is time: the node may learn a moment later where the
-// server is, or too many clients came back at once. A server that is not in discovery's list
-// can't take it back, so the placement fails.
+// retryReattach handles a failed attempt to return a placement to the server that holds it. The
+// placement cannot go elsewhere, so the module makes no decision and has not been told of it. The
+// attempt is repeated until the deadline if it cannot have had an effect: the address of the server may
+// become known shortly afterwards, or the server may be at capacity because too many clients reconnect
+// at the same time. If the server is not in the endpoint list, the placement fails immediately.
 func (l *EventLoop) retryReattach(active *activePlacement, server string, outcome balance.Outcome) {
 	retryAt := time.Now().Add(reattachInterval)
 	unlisted := l.listedServers != nil && !l.listedServers[server]
@@ -99,8 +100,8 @@
 	})
 }
 
-// ProbeEnded reports the result of a probe, and how long it took. The load counts only where
-// the outcome is OK.
+// ProbeEnded reports the result and the latency of a probe. The load is used only if the outcome is
+// OK.
 func (l *EventLoop) ProbeEnded(server string, outcome balance.Outcome, latency time.Duration,
 	load balance.LoadReport) {
 	l.post(func() {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -8,7 +8,7 @@
 	"coralrelay/balance"
 )
 
-// immediateEndpoints answers every probe and accepts every attempt at once.
+// immediateEndpoints answers every probe and accepts every attempt without delay.
 type immediateEndpoints struct {
 	loop        *EventLoop
 	established chan struct{}
@@ -23,13 +23,13 @@
 
 func (e *immediateEndpoints) Probe(server string) {
 	load := balance.EmptyLoadReport
-	load.Utilization, load.Inflight = 0.1, 1e6 // one more connection weighs nothing
+	load.Utilization, load.Inflight = 0.1, 1e6 // so that one more connection adds almost no load
 	go e.loop.ProbeEnded(server, balance.OK, time.Millisecond, load)
 }
 
 func (e *immediateEndpoints) Subscribe() {}
 
-// BenchmarkPlacement measures one placement and its end.
+// BenchmarkPlacement measures a placement from its submission to its end.
 func BenchmarkPlacement(b *testing.B) {
 	endpoints := &immediateEndpoints{established: make(chan struct{}, 1)}
 	loop := startLoop(b, endpoints, endpoints)
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -6,7 +6,8 @@
 	"coralrelay/balance"
 )
 
-// UpdateListLease reports until when the endpoint list may be relied on; the zero time is for ever.
+// UpdateListLease reports until when the endpoint list may be used. The zero time means that it does
+// not expire.
 func (l *EventLoop) UpdateListLease(expiresAt time.Time) {
 	l.post(func() {
 		lease := balance.ListLease{}
@@ -17,7 +18,7 @@
 	})
 }
 
-// UpdateEndpoints reports what discovery has said of the endpoint list.
+// UpdateEndpoints reports an update of the endpoint list by discovery.
 func (l *EventLoop) UpdateEndpoints(update balance.ListUpdate) {
 	l.post(func() {
 		l.trackListed(update)
@@ -25,8 +26,8 @@
 	})
 }
 
-// trackListed keeps the set of servers in discovery's list. A cached list may be old and does
-// not count.
+// trackListed updates the set of servers in the endpoint list. A cached list is ignored because it
+// may be out of date.
 func (l *EventLoop) trackListed(update balance.ListUpdate) {
 	switch update.Kind {
 	case balance.ListFailed, balance.ListCached:
@@ -35,7 +36,7 @@
 		l.listedServers = map[string]bool{}
 	}
 	if l.listedServers == nil {
-		return // changes to a list that has not come
+		return // changes to a list that has not been received
 	}
 	for _, entry := range update.Entries {
 		if entry.State == balance.Gone {
--- a/internal/dispatch/eventloop.go
+++ b/internal/dispatch/eventloop.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// avoidedRefreshInterval is the greatest age of AvoidedCount's answer.
+	// avoidedRefreshInterval is the maximum age of the result of AvoidedCount.
 	avoidedRefreshInterval = 200 * time.Millisecond
-	// inboxCapacity is how many closures may wait for Run before post blocks.
+	// inboxCapacity is the number of closures that can wait for Run before post blocks.
 	inboxCapacity = 1024
 )
 
-// Prober requests load reports from endpoints. Probe returns at once; the result is reported
-// to EventLoop.ProbeEnded.
+// Prober sends load probes to endpoints. Probe returns immediately; the result is reported to
+// EventLoop.ProbeEnded.
 type Prober interface{ Probe(server string) }
 
-// Discovery polls for the endpoint list. Subscribe returns at once; the result is reported to
+// Discovery requests the endpoint list. Subscribe returns immediately; the result is reported to
 // EventLoop.UpdateEndpoints.
 type Discovery interface{ Subscribe() }
 
-// EventLoop owns the decision module and the placements that are under way.
+// EventLoop owns the decision module and the placements in progress.
 type EventLoop struct {
-	Router Router // nil where there are no routes; set before Run
+	Router Router // nil if there are no routes; must be set before Run
 
 	clock          Clock
 	balancer       *balance.Balancer
 	prober         Prober
 	discovery      Discovery
 	inbox          chan func()
-	done           chan struct{} // closed when Run has ended
+	done           chan struct{} // closed when Run ends
 	rejectedLog    logging.Throttled
 	avoidedServers atomic.Int64 // refreshed every avoidedRefreshInterval
 	rejections     [balance.RejectReasonCount]atomic.Int64
 
-	// The fields below belong to Run's goroutine.
+	// The fields below are accessed by Run's goroutine only.
 	knownClasses    map[string]bool
-	listedServers   map[string]bool // in discovery's list; nil until discovery has answered
+	listedServers   map[string]bool // servers in the endpoint list; nil until discovery has answered
 	placements      map[string]*activePlacement
 	timers          timerHeap
-	actions         []balance.Action                                  // of the latest event; reused
+	actions         []balance.Action                                  // for the latest event; reused
 	attemptObserver func(contract, server string, took time.Duration) // nil for none
 }
 
-// New returns an EventLoop for the settings; Run starts it. The seed is that of the module's
-// random draws. It fails if the module does not accept the settings.
+// New returns an EventLoop for the settings; Run starts it. The seed initializes the module's random
+// draws. New fails if the module does not accept the settings.
 func New(clock Clock, seed uint64, settings balance.Settings, prober Prober, discovery Discovery) (*EventLoop, error) {
 	balancer, err := balance.New(seed, settings)
 	if err != nil {
-		return nil, fmt.Errorf("create the decision module: %w", err)
+		return nil, fmt.Errorf("create decision module: %w", err)
 	}
 	return &EventLoop{
 		clock:        clock,
@@ -76,7 +76,7 @@
 	return known
 }
 
-// Run handles events and timers until ctx ends.
+// Run handles events and timers until ctx is done.
 func (l *EventLoop) Run(ctx context.Context) {
 	defer close(l.done)
 	wake := time.NewTimer(0)
@@ -100,7 +100,7 @@
 	}
 }
 
-// runDueTimers runs the timers that are due at a time, those that they set included.
+// runDueTimers runs all timers that are due at time now, including those set by the timers it runs.
 func (l *EventLoop) runDueTimers(now time.Time) {
 	for {
 		run, due := l.timers.popDue(now)
@@ -111,7 +111,7 @@
 	}
 }
 
-// post hands f to Run's goroutine. It waits while the inbox is full, and drops f once Run has
+// post queues f for Run's goroutine. It blocks while the inbox is full, and drops f once Run has
 // ended.
 func (l *EventLoop) post(f func()) {
 	select {
@@ -120,7 +120,7 @@
 	}
 }
 
-// handle passes an event to the module and executes the actions that it answers with.
+// handle passes an event to the module and executes the actions that the module returns.
 func (l *EventLoop) handle(event balance.Event) {
 	now := time.Now()
 	l.actions = l.balancer.Handle(l.clock.At(now), event, l.actions[:0])
@@ -129,7 +129,7 @@
 	}
 }
 
-// execute turns one of the module's actions into a call.
+// execute carries out one of the module's actions.
 func (l *EventLoop) execute(now time.Time, action balance.Action) {
 	switch a := action.(type) {
 	case balance.Attempt:
@@ -158,7 +158,7 @@
 	}
 }
 
-// logModule writes a log line of the decision module.
+// logModule logs a message of the decision module.
 func logModule(line balance.Log) {
 	attributes := []any{"component", "balance"}
 	for _, attribute := range line.Attributes {
--- a/internal/dispatch/eventloop_test.go
+++ b/internal/dispatch/eventloop_test.go
@@ -9,10 +9,10 @@
 	"coralrelay/balance"
 )
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+const testTimeout = 10 * time.Second // reached only by a test that fails
 
-// Were time counted from the start of the process, a server's start an hour ago would be
-// negative: the module would read it as long ago and send a server that warms up full load.
+// With time counted from the start of the process, the start of an older server would be negative. The
+// module would take that for a start long ago and send full load to a server in slow start.
 func TestClockIsUnixTime(t *testing.T) {
 	clock := NewClock()
 	now := time.Now()
@@ -24,7 +24,7 @@
 	}
 }
 
-// fakeEndpoints records what the loop asks of endpoints and of discovery.
+// fakeEndpoints records the calls of the loop to endpoints and to discovery.
 type fakeEndpoints struct {
 	started    chan string
 	probed     chan string
@@ -37,7 +37,7 @@
 func (e *fakeEndpoints) Probe(server string) { e.probed <- server }
 func (e *fakeEndpoints) Subscribe()          { e.subscribed <- struct{}{} }
 
-// receive waits for the next value and fails the test if none comes.
+// receive waits for the next value and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, channel <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -48,7 +48,7 @@
 	return value
 }
 
-// listOf is a list update with ready servers.
+// listOf returns a list update with ready servers.
 func listOf(kind balance.ListKind, ids ...string) balance.ListUpdate {
 	update := balance.ListUpdate{Kind: kind}
 	for _, id := range ids {
@@ -57,14 +57,14 @@
 	return update
 }
 
-// lightLoad is the load report of a server with capacity.
+// lightLoad returns the load report of a server with spare capacity.
 func lightLoad() balance.LoadReport {
 	load := balance.EmptyLoadReport
 	load.Utilization = 0.1
 	return load
 }
 
-// startWithEndpoints returns a running loop that knows the servers s1 and s2.
+// startWithEndpoints returns a running loop whose cached list has the servers s1 and s2.
 func startWithEndpoints(t *testing.T) (*EventLoop, *fakeEndpoints) {
 	t.Helper()
 	endpoints := &fakeEndpoints{make(chan string, 16), make(chan string, 16), make(chan struct{}, 16)}
@@ -131,11 +131,11 @@
 	return placement
 }
 
-// A draw is a probe, a failed connection starts the drawing anew elsewhere, and a reset is
-// never retried: the placement gets its final answer.
+// A drawn server is probed. After a failed connection, another server is drawn. After a reset there is no
+// retry, as the request may have run: the placement gets its final answer.
 func TestRetriesFailedConnectionElsewhereButNeverAfterReset(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
-	receive(t, endpoints.subscribed) // the module asks for the list
+	receive(t, endpoints.subscribed) // the module requests the list
 	placement := submit(loop, endpoints, Request{ID: "a"})
 	first := receive(t, endpoints.probed)
 	loop.ProbeEnded(first, balance.OK, time.Millisecond, lightLoad())
@@ -146,7 +146,7 @@
 	second := receive(t, endpoints.probed)
 	loop.ProbeEnded(second, balance.OK, time.Millisecond, lightLoad())
 	if s := receive(t, endpoints.started); s == first {
-		t.Fatalf("%s got the retry too", s)
+		t.Fatalf("the retry went to %s again", s)
 	}
 	loop.AttemptEnded(placement, 1, second, balance.Reset, time.Millisecond, balance.EmptyLoadReport)
 	receive(t, placement.done)
@@ -155,8 +155,8 @@
 	}
 }
 
-// A constraint that leaves no server is passed to the module, which rejects at once.
-func TestRejectsAtOnceWhenConstraintAllowsNoEndpoint(t *testing.T) {
+// A constraint that allows no server is passed to the module, which rejects the placement immediately.
+func TestRejectsImmediatelyWhenConstraintAllowsNoEndpoint(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
 	constraint := &balance.ZoneConstraint{Zones: []balance.ZoneShare{{Zone: "far", Share: 1}}}
 	receive(t, submit(loop, endpoints, Request{ID: "a", ZoneConstraint: constraint}).done)
@@ -165,7 +165,7 @@
 	}
 }
 
-// A second placement with an id in use fails, and the first goes on.
+// A second placement with an id in use fails; the first is not affected.
 func TestFailsSecondPlacementWithSameID(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
 	first := submit(loop, endpoints, Request{ID: "a"})
@@ -178,8 +178,8 @@
 	}
 }
 
-// A placement that a server holds already goes there and nowhere else, and is offered again
-// while that is harmless.
+// A placement that a server already holds is offered to that server only, and again after a failure that
+// cannot have had an effect.
 func TestReattachRetriesCurrentServerOnly(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
 	placement := submit(loop, endpoints, Request{ID: "a", CurrentServer: "s7"})
@@ -194,15 +194,15 @@
 	receive(t, placement.done)
 }
 
-// Nobody can take back a placement whose server is gone: its client learns so at once. It was
-// offered again until its deadline, up to 40 s later.
+// A placement whose server has been removed from the list fails immediately. It used to be offered to that
+// server until its deadline, up to 40 s later.
 func TestReattachFailsOnceServerIsGone(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
 	loop.UpdateEndpoints(listOf(balance.ListFull, "s1", "s7"))
 	placement := submit(loop, endpoints, Request{ID: "a", CurrentServer: "s7"})
 	receive(t, endpoints.started)
 	loop.AttemptEnded(placement, 0, "s7", balance.ConnectFailed, 0, balance.EmptyLoadReport)
-	receive(t, endpoints.started) // it is listed: its process may be back in a moment
+	receive(t, endpoints.started) // the server is in the list: its process may restart
 	removal := listOf(balance.ListDelta, "s7")
 	removal.Entries[0].State = balance.Gone
 	loop.UpdateEndpoints(removal)
@@ -210,12 +210,12 @@
 	select {
 	case <-placement.done:
 	case s := <-endpoints.started:
-		t.Errorf("offered to %s again, which is gone", s)
+		t.Errorf("offered again to %s, which has been removed", s)
 	}
 }
 
-// A placement may end before its attempt is reported as established: the module still gets
-// both in order, and the id is free again.
+// If the end of a placement is reported before its establishment, the module still receives both in order,
+// and the id can be used again.
 func TestAcceptsEndReportedBeforeEstablishment(t *testing.T) {
 	loop, endpoints := startWithEndpoints(t)
 	placement := submit(loop, endpoints, Request{ID: "a", CurrentServer: "s1"})
--- a/internal/dispatch/observer.go
+++ b/internal/dispatch/observer.go
@@ -6,11 +6,12 @@
 	"coralrelay/balance"
 )
 
-// FailedAttemptDuration is reported as the duration of an attempt that failed.
+// FailedAttemptDuration is the duration that is reported for failed attempts.
 const FailedAttemptDuration = time.Hour
 
-// SetAttemptObserver has observe called, on Run's goroutine, with the duration of each attempt
-// for a placement whose route has a contract: FailedAttemptDuration for one that failed.
+// SetAttemptObserver registers observe to be called on Run's goroutine with the duration of each
+// attempt for a placement whose route has a contract. The duration of a failed attempt is
+// FailedAttemptDuration.
 func (l *EventLoop) SetAttemptObserver(observe func(contract, server string, duration time.Duration)) {
 	l.post(func() { l.attemptObserver = observe })
 }
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -5,31 +5,32 @@
 	"coralrelay/internal/route"
 )
 
-// Router knows the operators' routes and counts placements on them: it decides which route a
-// placement takes and whether that has capacity; the module then draws within the route's
-// constraint, or rejects. Its methods are called on Run's goroutine and return at once.
+// Router selects the route of each placement among those that the operators have configured, and counts
+// placements on routes. It decides whether a route has capacity; the module then draws a server within
+// the route's constraint, or rejects. Its methods are called on Run's goroutine and must not block.
 type Router interface {
-	// Admit returns the route that a placement counts on from now on, nil for none, and the
-	// constraint on where it may be drawn, nil for anywhere. Where the route has no capacity
-	// the route is nil and the constraint allows nothing.
+	// Admit counts a new placement on its route. It returns the route, nil for none, and the
+	// constraint on the zones of its servers, nil for no constraint. If the route has no capacity,
+	// the route is nil and the constraint allows no zone.
 	Admit(request *Request) (*route.Route, *balance.ZoneConstraint)
-	// Adopt is Admit for a placement that is established already.
+	// Adopt is like Admit, for a placement that is already established.
 	Adopt(request *Request) (*route.Route, *balance.ZoneConstraint)
-	// AddUsage counts attempts beyond a placement's first, and probes made for it.
+	// AddUsage counts the attempts after a placement's first, and the probes made for it.
 	AddUsage(admitted *route.Route, retries, probes int)
-	// Release is called once for each placement that was admitted or adopted onto a route.
+	// Release is called once at the end of each placement that was counted on a route.
 	Release(admitted *route.Route)
 }
 
-// admit hands a new placement to the module. The probes that the module answers with are made
-// for this placement; of later ones the module does not say for which they are.
+// admit passes a new placement to the module. Probes that the module requests in response are counted
+// on the route of the placement. Later probes are not, because the module does not report for which
+// placement they are made.
 func (l *EventLoop) admit(active *activePlacement) {
 	if l.Router == nil {
 		l.handle(l.moduleRequest(active))
 		return
 	}
 	active.route, active.constraint = l.Router.Admit(active.request)
-	admitted := active.route // the module's answer may end the placement
+	admitted := active.route // the module's actions may end the placement
 	l.handle(l.moduleRequest(active))
 	if admitted == nil {
 		return
@@ -39,7 +40,7 @@
 	}
 }
 
-// countProbes is how many of the latest event's actions are probes.
+// countProbes returns how many of the actions for the latest event are probes.
 func (l *EventLoop) countProbes() int {
 	probes := 0
 	for _, action := range l.actions {
@@ -50,7 +51,7 @@
 	return probes
 }
 
-// adoptRoute counts an established placement on its route.
+// adoptRoute counts a placement that a server already holds on its route.
 func (l *EventLoop) adoptRoute(active *activePlacement) {
 	if l.Router != nil {
 		active.route, active.constraint = l.Router.Adopt(active.request)
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -10,7 +10,7 @@
 	"coralrelay/internal/route"
 )
 
-// recordingRouter records its calls, on the loop's goroutine.
+// recordingRouter records the calls of its methods. It is used on the loop's goroutine only.
 type recordingRouter struct{ calls []string }
 
 var testRoute = &route.Route{Path: "acme:r"}
@@ -35,9 +35,9 @@
 	r.calls = append(r.calls, "release "+admitted.Path)
 }
 
-// The router is called once for each placement on a route and once for its end, for each
-// attempt beyond the first, and for the probe that the arrival causes; for others it is not.
-func TestRouterIsTrackedForAdmittedPlacementsOnly(t *testing.T) {
+// The router is called once for each placement on a route and once for its end, for each attempt after
+// the first, and for the probe made on arrival. It is not called for placements without a route.
+func TestRouterIsCalledForPlacementsOnRoutesOnly(t *testing.T) {
 	router := &recordingRouter{}
 	loop, endpoints := startWithEndpoints(t)
 	loop.RunOnLoop(func(time.Duration) { loop.Router = router })
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timer is a function to run at a time.
+// timer is a function that is due at a time.
 type timer struct {
 	dueAt time.Time
 	run   func()
 }
 
-// timerHeap is a heap of timers, the next one first.
+// timerHeap is a heap of timers, ordered by due time.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
@@ -28,7 +28,7 @@
 // schedule adds a timer.
 func (t *timerHeap) schedule(dueAt time.Time, run func()) { heap.Push(t, timer{dueAt, run}) }
 
-// popDue takes the first timer off the heap if it is due.
+// popDue removes the first timer from the heap if it is due, and returns its function.
 func (t *timerHeap) popDue(now time.Time) (run func(), ok bool) {
 	if len(*t) == 0 || (*t)[0].dueAt.After(now) {
 		return nil, false
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -11,8 +11,8 @@
 	"coralrelay/internal/logging"
 )
 
-// One placement can be followed by its id: its attempts in order, where they went, how each
-// ended, and its end. With debug lines off nothing is kept of it.
+// With debug logging, one line with the id of a placement has its attempts in order, with their servers
+// and results, and its outcome. Without debug logging there is no line.
 func TestTraceWritesOneDebugLinePerPlacement(t *testing.T) {
 	var out bytes.Buffer
 	previous := slog.Default()
@@ -30,7 +30,7 @@
 				balance.EmptyLoadReport)
 		}
 		receive(t, placement.done)
-		loop.ExportLearnedState() // all that was posted before it is done
+		loop.ExportLearnedState() // waits for everything that was posted before
 		var lines []string
 		for _, line := range strings.Split(out.String(), "\n") {
 			if strings.Contains(line, `"followed"`) {
@@ -39,18 +39,18 @@
 		}
 		if level == "info" {
 			if len(lines) > 0 {
-				t.Errorf("with debug lines off: %q", lines)
+				t.Errorf("debug logging is disabled, got lines %q", lines)
 			}
 			continue
 		}
 		if len(lines) != 1 || strings.Index(lines[0], "connect failed") > strings.Index(lines[0], "reset") ||
 			!strings.Contains(lines[0], `"outcome": "rejected", "reason": "repeat_harmful"`) {
-			t.Errorf("lines of one placement: %q", lines)
+			t.Errorf("got lines %q, want one line for the placement", lines)
 		}
 	}
 }
 
-// A disabled trace costs nothing.
+// BenchmarkDisabledTrace measures a trace with debug logging disabled, which should cost nothing.
 func BenchmarkDisabledTrace(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
