--- a/internal/route/allowance.go
+++ b/internal/route/allowance.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// million is what a token is divided into where fractions of tokens are carried.
-const million = 1_000_000
+// fractionScale is the fixed-point scale in which fractions of tokens are carried over.
+const fractionScale = 1_000_000
 
-// noLimit is an allowance without a bound.
+// noLimit is the allowance of an unlimited resource.
 const noLimit = -1
 
-// allowance is how much of a resource may be used on a path in this half epoch; negative for no
-// bound.
+// allowance returns the amount of a resource that may be used on a path in this half epoch, or noLimit.
 func (l *Limiter) allowance(now time.Duration, path string, resource int) float64 {
 	if !l.hasLease {
 		return noLimit
@@ -21,7 +20,7 @@
 		if amounts, ok := l.lease.Allocated[path]; ok {
 			return valuesOf(amounts)[resource]
 		}
-		return noLimit // not allocated yet: the levels above limit it
+		return noLimit // not allocated yet: limited by the levels above it
 	}
 	amounts, ok := l.lease.EvenShares[path]
 	if !ok {
@@ -30,7 +29,7 @@
 	return l.evenShare(path, resource, valuesOf(amounts)[resource])
 }
 
-// isLeased tells whether the lease still holds for a resource.
+// isLeased reports whether the lease is still valid for a resource.
 func (l *Limiter) isLeased(now time.Duration, resource int) bool {
 	if resource == resourceConnections {
 		return now-l.leasedAt < l.cfg.HolderTimeout
@@ -38,8 +37,8 @@
 	return l.lease.HalfEpoch == l.halfEpoch
 }
 
-// evenShare returns this node's part of a limit of which share is the even share: tokens a second,
-// or connections. Fractions go to the members in turn, by their ranks.
+// evenShare returns this node's part of a limit in this half epoch. The argument share is the even share of
+// the limit: tokens per second, or connections. Fractions are given to the members in turn, by their ranks.
 func (l *Limiter) evenShare(path string, resource int, share float64) float64 {
 	if share < 0 {
 		return noLimit
@@ -49,15 +48,16 @@
 	if resource == resourceConnections {
 		return evenConnections(share, rank, holderCount)
 	}
-	perHalf := int64(share * (l.cfg.Epoch / 2).Seconds() * million)
-	halfEpoch := l.halfEpoch % million
-	phase := rank * million / holderCount
-	remainder := perHalf % million
-	carried := (remainder*(halfEpoch+1)+phase)/million - (remainder*halfEpoch+phase)/million
-	return float64(perHalf/million + carried)
+	perHalf := int64(share * (l.cfg.Epoch / 2).Seconds() * fractionScale)
+	halfEpoch := l.halfEpoch % fractionScale
+	phase := rank * fractionScale / holderCount
+	remainder := perHalf % fractionScale
+	carried := (remainder*(halfEpoch+1)+phase)/fractionScale - (remainder*halfEpoch+phase)/fractionScale
+	return float64(perHalf/fractionScale + carried)
 }
 
-// evenConnections returns the whole connections of a rank where share is the limit's even share.
+// evenConnections returns the number of connections for the member of a rank, from the even share of the
+// limit.
 func evenConnections(share float64, rank, holderCount int64) float64 {
 	const roundingError = 1e-6
 	total := int64(math.Floor(share*float64(holderCount) + roundingError))
--- a/internal/route/bound.go
+++ b/internal/route/bound.go
@@ -8,28 +8,28 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// resolveBound says in which zones a route's sessions may be placed; nil for anywhere. What comes
-// first is never widened by what comes later:
+// resolveConstraint returns the zones in which a route's sessions may be placed, or nil for all zones. The
+// zones follow from these rules, and no rule widens what an earlier one allows:
 //
-//  1. Package balance's own constraints: rules, slow start and drain limits, then the zones'
-//     status, which comes as a grant. A bound only takes from what these leave.
-//  2. The owner's zones: no share and no contract leads out of them.
-//  3. The route's shares: a zone of 0 percent, or of none where there are shares, stays closed.
-//  4. The contract's allocation: it weighs the zones that are left, those of a route with shares
-//     by the product of both. If it names none of them it says nothing.
-//  5. Locality does not count: what is left is drawn evenly.
+//  1. Package balance's own constraints: rules, slow start and drain limits, then the status of the
+//     zones, which arrives as a grant. The result can only narrow what these allow.
+//  2. The owner's zones: shares and contracts cannot add other zones.
+//  3. The route's shares: a zone with 0 percent, or without a share if the route has shares, is closed.
+//  4. The contract's allocation: it weights the remaining zones. For a route with shares, the weight is
+//     the product of both. An allocation that contains none of the remaining zones is ignored.
+//  5. Locality is not considered: the remaining endpoints are drawn evenly.
 //
-// Shares are of sessions, and package balance keeps shares of draws: a zone with twice the
-// endpoints is drawn twice as often, so that its weight is halved for the same share.
-func resolveBound(
+// Shares are of sessions, but package balance takes shares of draws. A zone with twice the endpoints is
+// drawn twice as often, so its weight is halved for the same share of sessions.
+func resolveConstraint(
 	entry *routeupdate.Entry, allocation *routeupdate.Allocation, readyEndpoints map[string]int,
 ) *balance.ZoneConstraint {
 	weights := shareWeights(entry)
 	if allocation != nil {
-		if weighed := allocationWeights(entry, allocation, weights); len(weighed) > 0 {
-			weights = weighed
+		if weighted := allocationWeights(entry, allocation, weights); len(weighted) > 0 {
+			weights = weighted
 		} else if len(entry.ZoneShares) == 0 {
-			allocation = nil // what the owner may use is all there is
+			allocation = nil // only the owner's zones apply
 		}
 	}
 	switch {
@@ -45,10 +45,10 @@
 	return len(entry.AllowedZones) == 0 || slices.Contains(entry.AllowedZones, zone)
 }
 
-// zoneWeights are weights by zone; a zone that is not there is closed.
+// zoneWeights are weights by zone; a zone without a weight is closed.
 type zoneWeights map[string]float64
 
-// shareWeights returns the route's own shares within the owner's zones.
+// shareWeights returns the route's own shares of the owner's zones.
 func shareWeights(entry *routeupdate.Entry) zoneWeights {
 	weights := zoneWeights{}
 	for _, share := range entry.ZoneShares {
@@ -59,8 +59,8 @@
 	return weights
 }
 
-// allocationWeights returns a contract's allocation within the owner's zones, weighed by the
-// route's own shares if it has some.
+// allocationWeights returns a contract's allocation for the owner's zones, multiplied by the route's own
+// shares if it has any.
 func allocationWeights(
 	entry *routeupdate.Entry, allocation *routeupdate.Allocation, shares zoneWeights,
 ) zoneWeights {
@@ -77,7 +77,7 @@
 	return weights
 }
 
-// constraintZones turns weights of sessions into shares of draws, the largest of them 1.
+// constraintZones converts weights of sessions to shares of draws, scaled so that the largest is 1.
 func constraintZones(weights zoneWeights, readyEndpoints map[string]int) []balance.ZoneShare {
 	largest := 0.0
 	for zone, weight := range weights {
--- a/internal/route/bucket.go
+++ b/internal/route/bucket.go
@@ -7,33 +7,34 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// What a match names, as in account.Match.Specificity: that of a match that names more, or the
-// earlier of class, tenant, group, range, returning and retry, is greater.
+// The bits of a specificity, one for each field that a match sets, as in account.Match.Specificity. Of
+// two matches, the one that sets the earlier field in the order class, tenant, group, range, returning,
+// retry has the greater specificity.
 const (
-	byRetry = 1 << iota
-	byReturning
-	byRange
-	byGroup
-	byTenant
-	byClass
+	fieldRetry = 1 << iota
+	fieldReturning
+	fieldRange
+	fieldGroup
+	fieldTenant
+	fieldClass
 )
 
-// Odd constants that mix what is named into the hash of a bucket.
+// Odd constants that mix the fields into the hash of a bucket.
 const (
-	mixNamed     = 0x9e3779b97f4a7c15
+	mixField     = 0x9e3779b97f4a7c15
 	mixReturning = 0xff51afd7ed558ccd
 	mixRetry     = 0xc4ceb9fe1a85ec53
 )
 
-// bucket holds the routes of one specificity that name the same but for their ranges.
+// bucket holds the routes of one specificity whose matches are equal except for their hash ranges.
 type bucket struct {
 	specificity int
-	key         Query       // what they name, all else empty
-	ranges      []hashRange // in order, without overlaps
-	next        *bucket     // of the same hash
+	key         Query       // the fields that the routes' matches set; the others are empty
+	ranges      []hashRange // in order and without overlaps
+	next        *bucket     // next bucket with the same hash
 }
 
-// bucketFor returns the bucket of an entry's match, made if there is none.
+// bucketFor returns the bucket of an entry's match, and adds it if there is none.
 func (t *Table) bucketFor(entry *routeupdate.Entry) *bucket {
 	match := &entry.Match
 	key := Query{
@@ -54,16 +55,16 @@
 	return t.buckets[hash]
 }
 
-// matches tells whether a session is what the bucket's routes name.
+// matches reports whether a session has the fields that the bucket's matches set.
 func (b *bucket) matches(query *Query) bool {
-	return (b.specificity&byClass == 0 || b.key.Class == query.Class) &&
-		(b.specificity&byTenant == 0 || b.key.Tenant == query.Tenant) &&
-		(b.specificity&byGroup == 0 || b.key.Group == query.Group) &&
-		(b.specificity&byReturning == 0 || b.key.Returning == query.Returning) &&
-		(b.specificity&byRetry == 0 || b.key.Retry == query.Retry)
+	return (b.specificity&fieldClass == 0 || b.key.Class == query.Class) &&
+		(b.specificity&fieldTenant == 0 || b.key.Tenant == query.Tenant) &&
+		(b.specificity&fieldGroup == 0 || b.key.Group == query.Group) &&
+		(b.specificity&fieldReturning == 0 || b.key.Returning == query.Returning) &&
+		(b.specificity&fieldRetry == 0 || b.key.Retry == query.Retry)
 }
 
-// queryHashes are the hashes of a session's fields.
+// queryHashes are the hashes of the fields of a query.
 type queryHashes struct{ class, tenant, group uint64 }
 
 func (t *Table) hashQuery(query *Query) queryHashes {
@@ -74,22 +75,22 @@
 	}
 }
 
-// combine returns the hash of the fields that a specificity names.
+// combine returns the hash of the fields that are in a specificity.
 func (h queryHashes) combine(specificity int, query *Query) uint64 {
 	x := uint64(specificity)
-	if specificity&byClass != 0 {
-		x = bits.RotateLeft64(x*mixNamed, 29) ^ h.class
+	if specificity&fieldClass != 0 {
+		x = bits.RotateLeft64(x*mixField, 29) ^ h.class
 	}
-	if specificity&byTenant != 0 {
-		x = bits.RotateLeft64(x*mixNamed, 29) ^ h.tenant
+	if specificity&fieldTenant != 0 {
+		x = bits.RotateLeft64(x*mixField, 29) ^ h.tenant
 	}
-	if specificity&byGroup != 0 {
-		x = bits.RotateLeft64(x*mixNamed, 29) ^ h.group
+	if specificity&fieldGroup != 0 {
+		x = bits.RotateLeft64(x*mixField, 29) ^ h.group
 	}
-	if specificity&byReturning != 0 && query.Returning {
+	if specificity&fieldReturning != 0 && query.Returning {
 		x += mixReturning
 	}
-	if specificity&byRetry != 0 && query.Retry {
+	if specificity&fieldRetry != 0 && query.Retry {
 		x += mixRetry
 	}
 	return x
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,8 +1,8 @@
-// Package route finds the route of a session among all that the replicated log holds, says in
-// which zones it may be placed, and counts what this node uses against its quota lease.
+// Package route finds the route of a session among the routes in the replicated log, determines the
+// zones in which the session may be placed, and counts this node's usage against its quota lease.
 //
-// A Table is compiled from the updates that the agent sends (package routeupdate) and is immutable.
-// A Limiter admits sessions and counts them; it is for one goroutine at a time. The package is
-// pure: it does no I/O, reads no clock and starts no goroutine. Compile and Table.Apply return an
-// error for an update that does not fit; the caller then asks for a complete one.
+// A Table is compiled from the updates that the agent sends (package routeupdate) and is immutable. A
+// Limiter admits sessions and counts them; it must not be used by several goroutines at once. The package
+// does no I/O, reads no clock and starts no goroutine. Compile and Table.Apply return an error for an
+// update that cannot be applied; the caller then requests a complete one.
 package route
--- a/internal/route/limiter.go
+++ b/internal/route/limiter.go
@@ -8,7 +8,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// The resources that a session counts on, in the order of account.Amounts.
+// The resources that a session uses, in the order of account.Amounts.
 const (
 	resourceConnections = iota
 	resourceSetups
@@ -17,69 +17,68 @@
 	resourceCount
 )
 
-// resourceNames are what a Rejection calls the resources, as the JSON keys of account.Limits do.
+// resourceNames are the names of the resources in a Rejection, equal to the JSON keys of account.Limits.
 var resourceNames = [resourceCount]string{"open", "rate", "retries", "probes"}
 
-// resourceContract is what a Rejection calls the capacity that a contract's regions have.
+// resourceContract is the name in a Rejection of the capacity of a contract's regions.
 const resourceContract = "contract"
 
-// resourceAmounts are amounts by resource.
+// resourceAmounts are amounts indexed by resource.
 type resourceAmounts [resourceCount]float64
 
-// Limiter counts what this node uses against its quota lease. Until it has a lease it rejects
-// nothing. Times are Unix time by the agent's clock.
+// Limiter counts this node's usage against its quota lease. Until it has a lease it rejects nothing. Times
+// are Unix times by the agent's clock.
 //
-// A lease of a half epoch holds tokens for set-ups, retries and probes, void from its end on. In a
-// half epoch without a lease yet, a node goes by its even share of each limit; what it has spent by
-// then counts against the lease that comes. So in each half the fleet exceeds a limit by no more
-// than all even shares together, which are half of the limit's tokens for an epoch, and one;
-// attempts beyond a first and probes, which package balance makes, are counted when they are made,
-// and come on top. How many connections may be established is what the last lease says until that
-// is older than HolderTimeout, then the even share: an established connection is never called back.
+// The lease of a half epoch grants tokens for set-ups, retries and probes, which expire at the end of the
+// half epoch. Until the lease of a half epoch arrives, the node uses its even share of each limit, and that
+// usage counts against the lease when it arrives. In each half epoch the fleet therefore exceeds a limit by
+// at most the sum of all even shares, which is half of the limit's tokens for an epoch plus one. Attempts
+// after a first, and probes, are made by package balance and counted when they are made; they can exceed
+// the limit further. The number of established connections is limited by the last lease until that is older
+// than HolderTimeout, and by the even share afterwards. Established connections are never revoked.
 type Limiter struct {
-	cfg          account.LeaseConfig
-	halfEpoch    int64
-	lease        account.QuotaLease
-	leasedAt     time.Duration
-	hasLease     bool
-	usage        map[string]*pathUsage
-	contractDebt map[string]float64 // fractions of a session that contracts are still to reject
-	rejections   map[Rejection]uint64
+	cfg               account.LeaseConfig
+	halfEpoch         int64
+	lease             account.QuotaLease
+	leasedAt          time.Duration
+	hasLease          bool
+	usage             map[string]*pathUsage
+	contractRemainder map[string]float64 // by contract: fraction of a session that is still to be rejected
+	rejections        map[Rejection]uint64
 }
 
-// pathUsage is what is used of one path.
+// pathUsage is the usage of one path.
 type pathUsage struct {
 	connections int
-	used        resourceAmounts // in this half epoch; connections are not counted here
+	used        resourceAmounts // in this half epoch, except connections
 	rejected    resourceAmounts // in this half epoch
-	usedBefore  resourceAmounts // used in the half before
-	demand      resourceAmounts // and with what was rejected
+	usedBefore  resourceAmounts // used in the previous half epoch
+	demand      resourceAmounts // used and rejected in the previous half epoch
 }
 
-// Rejection is why sessions were rejected: the level that was full, which is a contract where its
-// regions have no capacity.
+// Rejection identifies the reason for which sessions were rejected: the level that had no capacity, or the
+// contract whose regions had none.
 type Rejection struct{ Account, Level, Resource string }
 
-// maxRejectionKinds bounds the kinds of rejections that are counted apart, and the contracts that
-// have a debt.
+// maxRejectionKinds is the maximum number of rejections that are counted separately, and of contracts that
+// have a remainder.
 const maxRejectionKinds = 4096
 
-// NewLimiter returns a Limiter without a lease. The config is the fleet's; an error names its first
-// invalid field.
+// NewLimiter returns a Limiter without a lease, for the configuration of the fleet. The error names the
+// first invalid field.
 func NewLimiter(cfg account.LeaseConfig) (*Limiter, error) {
 	if key := cfg.InvalidField(); key != "" {
 		return nil, fmt.Errorf("route limiter: invalid lease configuration: %s", key)
 	}
 	return &Limiter{
-		cfg:          cfg,
-		usage:        map[string]*pathUsage{},
-		contractDebt: map[string]float64{},
-		rejections:   map[Rejection]uint64{},
+		cfg:               cfg,
+		usage:             map[string]*pathUsage{},
+		contractRemainder: map[string]float64{},
+		rejections:        map[Rejection]uint64{},
 	}, nil
 }
 
-// SetLease takes a lease as it comes. One of an earlier half epoch than the last is late, and
-// ignored.
+// SetLease applies a lease. A lease that is older than the current one, by its half epoch, is ignored.
 func (l *Limiter) SetLease(lease account.QuotaLease, now time.Duration) {
 	l.advance(now)
 	if l.hasLease && lease.HalfEpoch < l.lease.HalfEpoch {
@@ -88,9 +87,9 @@
 	l.lease, l.leasedAt, l.hasLease = lease, now, true
 }
 
-// Admit counts a session that comes now on all levels of its route, or returns the path of the
-// level that is full, the highest of them, or the contract. A retry counts as one besides, whoever
-// makes it. The session counts as a connection until ConnectionClosed, so that many at once do not
+// Admit counts a new session on all levels of its route. If a level has no capacity, the session is not
+// counted and fullPath is the highest such level, or the contract. A retry, whoever makes it, also counts as
+// a retry. The session counts as a connection until ConnectionClosed, so that concurrent sessions cannot
 // exceed a limit together.
 func (l *Limiter) Admit(now time.Duration, route *Route, retry bool) (ok bool, fullPath string) {
 	l.advance(now)
@@ -108,13 +107,13 @@
 		l.reject(route, Rejection{route.Account, route.Contract, resourceContract}, needed)
 		return false, route.Contract
 	}
-	// It needs capacity for one probe, but counts the probes that are made.
+	// Admission requires capacity for one probe, but probes are counted when they are made.
 	l.RecordAttempts(now, route, 1, int(needed[resourceRetries]), 0)
 	l.ConnectionOpened(route)
 	return true, ""
 }
 
-// fullResource returns the first resource of which a path has less left than is needed.
+// fullResource returns the first resource of which a path has less left than needed.
 func (l *Limiter) fullResource(now time.Duration, path string, needed *resourceAmounts) (resource int, isFull bool) {
 	usage := l.usage[path]
 	for resource, amount := range needed {
@@ -133,21 +132,22 @@
 	return 0, false
 }
 
-// isContractFull spreads the share of sessions that a route's contract rejects evenly over them.
+// isContractFull reports whether the session is one of those that the route's contract rejects. They are
+// spread evenly over all sessions, according to the rejected share.
 func (l *Limiter) isContractFull(route *Route) bool {
-	if len(l.contractDebt) > maxRejectionKinds {
-		clear(l.contractDebt) // most of them of contracts that are long gone
+	if len(l.contractRemainder) > maxRejectionKinds {
+		clear(l.contractRemainder) // most of these contracts no longer exist
 	}
-	l.contractDebt[route.Contract] += route.RejectedShare
-	if l.contractDebt[route.Contract] < 1 {
+	l.contractRemainder[route.Contract] += route.RejectedShare
+	if l.contractRemainder[route.Contract] < 1 {
 		return false
 	}
-	l.contractDebt[route.Contract]--
+	l.contractRemainder[route.Contract]--
 	return true
 }
 
-// RecordAttempts counts set-ups, retries and probes that were made on a route without being
-// admitted: attempts beyond a first, which package balance decides on, and its probes.
+// RecordAttempts counts set-ups, retries and probes that were made on a route without admission: attempts
+// after a first, which package balance decides on, and its probes.
 func (l *Limiter) RecordAttempts(now time.Duration, route *Route, setups, retries, probes int) {
 	l.advance(now)
 	for _, path := range route.Levels {
@@ -158,16 +158,15 @@
 	}
 }
 
-// ConnectionOpened counts a connection that was not admitted: it was taken over from another
-// process.
+// ConnectionOpened counts a connection without admission: one that was taken over from another process.
 func (l *Limiter) ConnectionOpened(route *Route) {
 	for _, path := range route.Levels {
 		l.usageOf(path).connections++
 	}
 }
 
-// ConnectionClosed is to be called once for each session that was admitted or opened, with the
-// route that it had then, when its attempts have failed or it has ended.
+// ConnectionClosed must be called once for each session that was counted by Admit or ConnectionOpened, with
+// the same route, when its attempts have failed or it has ended.
 func (l *Limiter) ConnectionClosed(route *Route) {
 	for _, path := range route.Levels {
 		if usage := l.usage[path]; usage != nil && usage.connections > 0 {
@@ -176,7 +175,7 @@
 	}
 }
 
-// reject counts a rejection, and what was needed on all levels.
+// reject counts a rejection, and adds the needed amounts to the rejected ones of all levels.
 func (l *Limiter) reject(route *Route, rejection Rejection, needed resourceAmounts) {
 	for _, path := range route.Levels {
 		usage := l.usageOf(path)
@@ -190,6 +189,6 @@
 	l.rejections[rejection]++
 }
 
-// Rejections returns how many sessions were rejected since the start, by why. What is beyond 4096
-// kinds is counted without account and level.
+// Rejections returns the number of rejected sessions since the start, by reason. Beyond maxRejectionKinds
+// (4096) reasons, further ones are counted by resource only, without account and level.
 func (l *Limiter) Rejections() map[Rejection]uint64 { return maps.Clone(l.rejections) }
--- a/internal/route/limiter_test.go
+++ b/internal/route/limiter_test.go
@@ -12,7 +12,7 @@
 
 var testRoute = &Route{Path: "acme/web:r", Account: "acme", Levels: []string{"acme", "acme/web", "acme/web:r"}}
 
-// newTestLimiter returns one with an epoch of a second, and a time in its half epoch 100.
+// newTestLimiter returns a Limiter with an epoch of one second, and a time in its half epoch 100.
 func newTestLimiter(t interface{ Fatal(...any) }) (*Limiter, time.Duration) {
 	l, err := NewLimiter(account.LeaseConfig{Epoch: time.Second, HolderTimeout: 3 * time.Second})
 	if err != nil {
@@ -21,7 +21,7 @@
 	return l, 50 * time.Second
 }
 
-// newTestLease returns a lease with small even shares of the same paths.
+// newTestLease returns a lease of amounts by path, with small even shares for the same paths.
 func newTestLease(halfEpoch int64, paths map[string]account.Amounts) account.QuotaLease {
 	evenShares := map[string]account.Amounts{}
 	for path := range paths {
@@ -30,7 +30,7 @@
 	return account.QuotaLease{HalfEpoch: halfEpoch, Allocated: paths, EvenShares: evenShares, HolderCount: 1}
 }
 
-// admit returns how many of some sessions are admitted, and which level was full.
+// admit submits sessions to the limiter. It returns how many are admitted, and which level was full.
 func admit(l *Limiter, now time.Duration, retry bool, sessions int) (admitted int, fullPath string) {
 	for range sessions {
 		ok, full := l.Admit(now, testRoute, retry)
@@ -60,14 +60,14 @@
 		wantFull     string
 		wantResource string
 	}{
-		{"no bound", amountsByPath{"acme": free, "acme/web": free, "acme/web:r": free}, false, sessions, "", ""},
+		{"no limit", amountsByPath{"acme": free, "acme/web": free, "acme/web:r": free}, false, sessions, "", ""},
 		{"the account's set-ups", amountsByPath{"acme": fewSetups, "acme/web:r": free}, false, 3, "acme", "rate"},
 		{"the team's connections", amountsByPath{"acme": free, "acme/web": fewConnections}, false, 4, "acme/web", "open"},
 		{"the route's retries", amountsByPath{"acme/web:r": fewRetries}, true, 2, "acme/web:r", "retries"},
-		{"none of them a retry", amountsByPath{"acme/web:r": fewRetries}, false, sessions, "", ""},
+		{"not a retry", amountsByPath{"acme/web:r": fewRetries}, false, sessions, "", ""},
 		{"no probes", amountsByPath{"acme": noProbes}, false, 0, "acme", "probes"},
-		{"nothing is allowed", amountsByPath{"acme": free, "acme/web": {}}, false, 0, "acme/web", "open"},
-		{"the highest is named", amountsByPath{"acme": noSetups, "acme/web": {}}, false, 0, "acme", "rate"},
+		{"no capacity at all", amountsByPath{"acme": free, "acme/web": {}}, false, 0, "acme/web", "open"},
+		{"highest level is returned", amountsByPath{"acme": noSetups, "acme/web": {}}, false, 0, "acme", "rate"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, now := newTestLimiter(t)
@@ -87,8 +87,9 @@
 	}
 }
 
-// Tokens are of their half epoch. Before a lease for it comes a node goes by its even share, and
-// what it has used counts then; connections are as in the last lease until HolderTimeout is over.
+// Tokens expire with their half epoch. Until the lease of a half epoch arrives, the node uses its even
+// share, and that usage counts against the lease. Connections follow the last lease until HolderTimeout has
+// passed.
 func TestLeasesExpireWithTheirHalfEpoch(t *testing.T) {
 	l, now := newTestLimiter(t)
 	admits := func(what string, sessions, want int) {
@@ -109,35 +110,35 @@
 	admits("before any lease", 5, 5)
 	closeConnections(5)
 	l.SetLease(accountLease(100, 9, 7), now)
-	admits("five are used of seven", 9, 2)
+	admits("five of seven tokens are used", 9, 2)
 	l.SetLease(accountLease(99, 9, 99), now)
-	admits("the lease of an earlier half", 9, 0)
+	admits("the lease of an earlier half epoch is ignored", 9, 0)
 	now += 500 * time.Millisecond
-	admits("a half without its lease: four a second", 9, 2)
+	admits("a half epoch without a lease: four a second", 9, 2)
 	l.SetLease(accountLease(101, 9, 3), now)
-	admits("what was used counts", 9, 1)
+	admits("earlier usage counts against the lease", 9, 1)
 	usage := l.Usage(now)
 	if usage.HalfEpoch != 101 || usage.Used["acme"] != (account.Amounts{Connections: 5, Setups: 3}) ||
 		usage.UsedBefore["acme"].Setups != 7 || usage.Demand["acme"].Setups != 7+7+9 {
-		t.Errorf("reported: %+v", usage)
+		t.Errorf("wrong report: %+v", usage)
 	}
 	now += 2 * time.Second
-	admits("within the timeout four more connections, two tokens each half", 9, 2)
+	admits("before HolderTimeout: four more connections, two tokens in each half epoch", 9, 2)
 	now += time.Second
-	admits("the even share: one connection", 9, 0)
+	admits("after HolderTimeout: an even share of one connection", 9, 0)
 	closeConnections(7)
-	admits("and there is none", 9, 1)
-	closeConnections(2) // once too often takes nothing from anyone
+	admits("the even share without open connections", 9, 1)
+	closeConnections(2) // one more than are open: the count must not become negative
 	l.RecordAttempts(now, testRoute, 0, 0, 2)
 	now += time.Second
 	usage = l.Usage(now)
 	if len(usage.Used)+len(usage.UsedBefore)+len(usage.Demand) != 0 || len(l.usage) != 0 {
-		t.Errorf("reported without connections: %+v, %d paths kept", usage, len(l.usage))
+		t.Errorf("report without usage: %+v, %d paths kept", usage, len(l.usage))
 	}
 }
 
-// All members' even shares together stay within the limit: half of an epoch's tokens and one, and
-// never more connections.
+// The sum of all members' even shares is within the limit: at most half of the tokens of an epoch plus one
+// in a half epoch, and at most the limit of connections.
 func TestEvenSharesTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holderCount := rapid.IntRange(1, 40).Draw(t, "members")
@@ -154,7 +155,7 @@
 				connections += l.evenShare("acme", resourceConnections, limit/float64(holderCount))
 			}
 			if all += rate; rate > limit/2+1 || connections > limit {
-				t.Fatalf("half %d: %v set-ups of %v a second, %v connections", halfEpoch, rate, limit, connections)
+				t.Fatalf("half epoch %d: %v set-ups of %v/s, %v connections", halfEpoch, rate, limit, connections)
 			}
 		}
 		if all < 10*limit-float64(holderCount)-1 {
@@ -163,7 +164,7 @@
 	})
 }
 
-// What a contract's regions have no capacity for is rejected evenly.
+// The sessions for which a contract's regions have no capacity are rejected at even intervals.
 func TestRejectsAContractsExcessEvenly(t *testing.T) {
 	l, now := newTestLimiter(t)
 	route := *testRoute
--- a/internal/route/ranges.go
+++ b/internal/route/ranges.go
@@ -8,34 +8,34 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// maxHash is the last hash of all.
+// maxHash is the greatest hash.
 const maxHash = ^uint64(0)
 
-// hashRange is a range of the groups' hashes and the route that takes it. The end is exclusive but
-// for maxHash.
+// hashRange is a range of group hashes and its route. The end of the range is exclusive, except for
+// maxHash.
 type hashRange struct {
 	from, to uint64
 	route    *Route
 }
 
-// rangeOf returns the range that an entry's match names.
+// rangeOf returns the hash range of an entry's match.
 func (b *bucket) rangeOf(entry *routeupdate.Entry, route *Route) hashRange {
-	claim := hashRange{from: hashEdge(entry.Match.HashFrom), to: hashEdge(entry.Match.HashTo), route: route}
-	if b.specificity&byRange == 0 || entry.Match.HashTo == 1 {
+	claim := hashRange{from: hashAt(entry.Match.HashFrom), to: hashAt(entry.Match.HashTo), route: route}
+	if b.specificity&fieldRange == 0 || entry.Match.HashTo == 1 {
 		claim.to = maxHash
 	}
 	return claim
 }
 
-// hashEdge returns the hash at a fraction of all hashes.
-func hashEdge(fraction float64) uint64 { return uint64(fraction*(1<<53)) << 11 }
+// hashAt returns the hash at a fraction, from 0 up to below 1, of the range of all hashes.
+func hashAt(fraction float64) uint64 { return uint64(fraction*(1<<53)) << 11 }
 
-// lookup returns the route that takes a hash, nil if none does.
+// lookup returns the route of the range that contains a hash, or nil if there is none.
 func (b *bucket) lookup(hash uint64) *Route {
-	if b.specificity&byRange == 0 {
+	if b.specificity&fieldRange == 0 {
 		return b.ranges[0].route
 	}
-	low, high := 0, len(b.ranges) // the first range that begins beyond the hash
+	low, high := 0, len(b.ranges) // binary search for the first range that begins after the hash
 	for low < high {
 		middle := int(uint(low+high) >> 1)
 		if b.ranges[middle].from > hash {
@@ -53,15 +53,15 @@
 	return nil
 }
 
-// splitOverlaps cuts claims, which come by path, into ranges without overlaps: each hash is the
-// first claim's that has it.
+// splitOverlaps splits claims, which are ordered by path and may overlap, into ranges without overlaps.
+// Each hash is assigned to the first claim that contains it.
 func splitOverlaps(claims []hashRange) []hashRange {
 	if len(claims) == 1 {
 		return claims
 	}
 	byFrom, edges := edgesOf(claims)
 	var ranges []hashRange
-	active := &indexHeap{} // the claims that have the hashes from this edge on
+	active := &indexHeap{} // claims that contain the hashes from this edge on
 	for i, from := range edges[:len(edges)-1] {
 		for len(byFrom) > 0 && claims[byFrom[0]].from == from {
 			heap.Push(active, byFrom[0])
@@ -77,8 +77,8 @@
 	return ranges
 }
 
-// edgesOf returns the claims' indices in the order of their beginnings, and all beginnings and ends
-// in order.
+// edgesOf returns the indices of the claims in the order of their beginnings, and all beginnings and ends
+// in ascending order, without duplicates.
 func edgesOf(claims []hashRange) (byFrom []int, edges []uint64) {
 	byFrom = make([]int, len(claims))
 	edges = make([]uint64, 0, 2*len(claims))
@@ -91,8 +91,8 @@
 	return byFrom, slices.Compact(edges)
 }
 
-// appendRange appends a range, or extends the last one if that is of the same route and ends where
-// the new one begins.
+// appendRange appends a range, or extends the last range if that has the same route and ends where the new
+// one begins.
 func appendRange(ranges []hashRange, added hashRange) []hashRange {
 	if last := len(ranges) - 1; last >= 0 && ranges[last].route == added.route && ranges[last].to == added.from {
 		ranges[last].to = added.to
@@ -101,7 +101,7 @@
 	return append(ranges, added)
 }
 
-// indexHeap is a heap of the indices of claims.
+// indexHeap is a heap of indices of claims, with the smallest first.
 type indexHeap []int
 
 func (h indexHeap) Len() int           { return len(h) }
--- a/internal/route/snapshot/build.go
+++ b/internal/route/snapshot/build.go
@@ -1,6 +1,6 @@
-// Package snapshot makes the complete update of routes that an agent sends to its node out of the
-// replicated log's state. It stands apart from package route so that the node does not link what
-// only the agent needs. It does no I/O, reads no clock and starts no goroutine, and has no errors.
+// Package snapshot builds the complete update of routes that an agent sends to its node from the state of
+// the replicated log. It is separate from package route so that the node does not link code that only the
+// agent needs. It does no I/O, reads no clock, starts no goroutine and returns no errors.
 package snapshot
 
 import (
@@ -14,9 +14,9 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// Build returns the complete update at an index: routes by path, allocations by contract. Regions
-// are sets of zones by name; readyEndpoints are counts by zone, as far as the node has reported
-// them. The result shares the states' slices and changes nothing.
+// Build returns the complete update at an index: routes by path, allocations by contract. Regions are lists
+// of zones by name; readyEndpoints are the counts by zone that the node has reported. The arguments are not
+// modified, and the result shares slices with them.
 func Build(
 	index uint64, accounts account.State, contracts slo.State,
 	regions map[string][]string, readyEndpoints map[string]int,
@@ -48,14 +48,14 @@
 	return update
 }
 
-// zoneMap turns shares of zones and regions into shares of zones.
+// zoneMap converts shares of zones and regions to shares of zones.
 type zoneMap struct {
 	regions        map[string][]string
 	readyEndpoints map[string]int
 }
 
-// spread divides the share of a zone or region among its zones, by their ready endpoints, evenly
-// where there are none.
+// spread distributes the share of a zone or region among its zones in proportion to their ready endpoints,
+// or evenly if there are none.
 func (z zoneMap) spread(name string, share float64, add func(zone string, share float64)) {
 	zones := z.regions[name]
 	if len(zones) == 0 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// shares returns the shares of zones, added up in the order of their zones' or regions' names.
+// shares returns the shares of zones, summed in the order of the names of zones and regions.
 func (z zoneMap) shares(byName map[string]float64) map[string]float64 {
 	byZone := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
@@ -84,7 +84,7 @@
 	return byZone
 }
 
-// zoneShares returns a route's shares of zones, in order; nil if it has none.
+// zoneShares returns a route's shares of zones, ordered by zone, or nil if it has none.
 func (z zoneMap) zoneShares(shares []account.ZoneShare) []account.ZoneShare {
 	if len(shares) == 0 {
 		return nil
@@ -100,8 +100,8 @@
 	return zones
 }
 
-// allowed returns the zones that an owner may use, in order: its own list, or that of the nearest
-// ancestor that has one, as a list is never wider than one above it. Nil is all.
+// allowed returns the zones that an owner may use, in order, or nil for all zones. They are the owner's own
+// list or that of its nearest ancestor with a list, because no list is wider than one of an ancestor.
 func (z zoneMap) allowed(accounts account.State, owner string) []string {
 	for path := owner; path != ""; path = parent(path) {
 		node := accounts.Nodes[path]
@@ -122,8 +122,9 @@
 	return nil
 }
 
-// contractOf names the contract that a route goes by: the one that it states, or that of the
-// nearest holder above it, of several the first by priority that has ever had an allocation.
+// contractOf returns the name of the contract of a route: the one that the route specifies, or one of the
+// nearest holder above it. Of several contracts of that holder, it is the first by priority among those that
+// have had an allocation.
 func contractOf(route *account.Route, contracts slo.State, byHolder map[string][]slo.Contract) string {
 	if route.Contract != "" {
 		return route.Contract
@@ -136,7 +137,7 @@
 	return ""
 }
 
-// preferred returns the contract that counts among several of one holder.
+// preferred returns the contract that applies among several of one holder.
 func preferred(candidates []slo.Contract, contracts slo.State) slo.Contract {
 	return slices.MinFunc(candidates, func(a, b slo.Contract) int {
 		return cmp.Or(
@@ -146,7 +147,7 @@
 	})
 }
 
-// unallocated is 1 for a contract without an allocation, to order it after the others.
+// unallocated returns 1 for a contract without an allocation and 0 otherwise, to sort such contracts last.
 func unallocated(contracts slo.State, contract slo.Contract) int {
 	if _, ok := contracts.Allocation(contract.Name); ok {
 		return 0
@@ -154,7 +155,7 @@
 	return 1
 }
 
-// parent returns the path of the parent: of a route its owner, of an account none.
+// parent returns the path of the parent: the owner for a route, and an empty path for an account.
 func parent(path string) string {
 	return path[:max(strings.LastIndexAny(path, ":/"), 0)]
 }
--- a/internal/route/snapshot/build_test.go
+++ b/internal/route/snapshot/build_test.go
@@ -9,8 +9,8 @@
 	"coralrelay/internal/route"
 )
 
-// Regions, scopes and contracts of the replicated log's state reach a route's bound.
-func TestBuildsBoundsFromRegionsScopesAndContracts(t *testing.T) {
+// The regions, scopes and contracts in the state of the replicated log determine a route's constraint.
+func TestBuildsConstraintsFromRegionsScopesAndContracts(t *testing.T) {
 	type shares = map[string]float64
 	regions := map[string][]string{"north": {"a", "b"}, "south": {"c"}}
 	readyEndpoints := map[string]int{"a": 30, "b": 10, "c": 10}
@@ -23,13 +23,13 @@
 		allocation shares
 		want       string
 	}{
-		{"no bound", nil, nil, "", nil, "<nil>"},
+		{"no constraint", nil, nil, "", nil, "<nil>"},
 		{"the account's region", []string{"north"}, nil, "", nil, "[{a 1} {b 1}]"},
 		{"shares of regions, by sessions", nil, byRegion, "", nil, "[{a 1} {b 1} {c 1}]"},
 		{"the account's contract", nil, nil, "acme", shares{"b": 0.5, "c": 0.5}, "[{b 1} {c 1}]"},
-		{"the route's own", nil, nil, "acme/web:r", shares{"a": 0.75, "c": 0.25}, "[{a 1} {c 1}]"},
-		{"another's contract", nil, nil, "acme/shop", shares{"a": 1}, "<nil>"},
-		{"within the account's region", []string{"south"}, nil, "acme", shares{"b": 0.5, "c": 0.5}, "[{c 1}]"},
+		{"the route's own contract", nil, nil, "acme/web:r", shares{"a": 0.75, "c": 0.25}, "[{a 1} {c 1}]"},
+		{"another team's contract", nil, nil, "acme/shop", shares{"a": 1}, "<nil>"},
+		{"contract within the account's region", []string{"south"}, nil, "acme", shares{"b": 0.5, "c": 0.5}, "[{c 1}]"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			webRoute := &account.Route{Name: "r", Owner: "acme/web", ZoneShares: tt.zoneShares}
@@ -50,8 +50,8 @@
 				t.Fatal(err)
 			}
 			got := "<nil>"
-			if bound := table.Find(route.Query{Class: "feed"}).Constraint; bound != nil {
-				got = fmt.Sprint(bound.Zones)
+			if constraint := table.Find(route.Query{Class: "feed"}).Constraint; constraint != nil {
+				got = fmt.Sprint(constraint.Zones)
 			}
 			if got != tt.want {
 				t.Errorf("%s, want %s", got, tt.want)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -9,38 +9,39 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// maxRoutes bounds a table: as many routes as a tree of accounts holds, and more.
+// maxRoutes is the maximum number of routes in a table. It exceeds the number of routes that a tree of
+// accounts can hold.
 const maxRoutes = 1 << 16
 
-// Table finds routes. It is immutable.
+// Table finds the routes of sessions. It is immutable.
 type Table struct {
-	Index          uint64 // of the update that it is the result of
+	Index          uint64 // of the latest update that was applied
 	seed           maphash.Seed
 	entries        map[string]routeupdate.Entry // by path
 	routes         map[string]*Route            // by path
 	allocations    map[string]routeupdate.Allocation
 	readyEndpoints map[string]int
-	specificities  []int // that routes have, the most specific first
+	specificities  []int // specificities of the routes, in descending order
 	buckets        map[uint64]*bucket
 }
 
 // Compile returns the table of a complete update.
 func Compile(update routeupdate.Update) (*Table, error) {
 	if !update.Complete {
-		return nil, fmt.Errorf("routes at %d: changes since %d, and there is nothing to change",
+		return nil, fmt.Errorf("routes at %d: changes since %d cannot be applied without a table",
 			update.Index, update.BaseIndex)
 	}
 	return (&Table{seed: maphash.MakeSeed()}).build(update)
 }
 
-// Apply returns the table after an update, which has to be based on this table's index. A
-// complete update replaces the table.
+// Apply returns the table after an update. An update that is not complete must be based on this table's
+// index; a complete update replaces the table.
 func (t *Table) Apply(update routeupdate.Update) (*Table, error) {
 	switch {
 	case update.Complete:
 		return Compile(update)
 	case update.BaseIndex != t.Index || update.Index < t.Index:
-		return nil, fmt.Errorf("routes: changes from %d to %d, the table is at %d", update.BaseIndex, update.Index, t.Index)
+		return nil, fmt.Errorf("routes: changes from %d to %d, but the table is at %d", update.BaseIndex, update.Index, t.Index)
 	case len(update.Set)+len(update.Removed)+len(update.Allocations) == 0 && update.ReadyEndpoints == nil:
 		next := *t
 		next.Index = update.Index
@@ -74,9 +75,9 @@
 	return next, nil
 }
 
-// merge puts an update's entries and allocations into the table. It returns the paths and
-// contracts that are not as before; a route with the path of a changed contract is compiled anew
-// for nothing.
+// merge applies an update's entries and allocations to the table. It returns the paths and contracts that
+// have changed in one set: a route whose path equals the name of a changed contract is recompiled
+// needlessly, which is harmless.
 func (t *Table) merge(update routeupdate.Update) (changed map[string]bool, err error) {
 	changed = map[string]bool{}
 	for _, path := range update.Removed {
@@ -98,13 +99,13 @@
 		changed[entry.Path()] = true
 	}
 	if len(t.entries) > maxRoutes {
-		return nil, fmt.Errorf("routes: %d, at most %d are taken", len(t.entries), maxRoutes)
+		return nil, fmt.Errorf("routes: %d exceed the maximum of %d", len(t.entries), maxRoutes)
 	}
 	return changed, nil
 }
 
-// compile makes the routes of all entries, and the index that finds them. A previous route whose
-// path and contract are not stale is used again.
+// compile compiles the routes of all entries and the index for Find. A previous route is reused if neither
+// its path nor its contract is stale.
 func (t *Table) compile(previous map[string]*Route, isStale func(path, contract string) bool) {
 	claims := map[*bucket][]hashRange{}
 	for _, path := range slices.Sorted(maps.Keys(t.entries)) {
@@ -127,17 +128,17 @@
 	slices.Reverse(t.specificities)
 }
 
-// Find returns the route of a session, nil if none matches. Of those that match the most specific
-// counts, by what their matches name, in this order: class, tenant, one group, a range of groups,
-// returning, retry. Of two that name the same, which a validated log does not hold, it is the one
-// with the lower path.
+// Find returns the route of a session, or nil if none matches. Of several matching routes it returns the
+// most specific one: the one whose match sets the earlier field in the order class, tenant, one group, a
+// range of groups, returning, retry. If two matches set the same fields, which a validated log does not
+// contain, Find returns the route with the lower path.
 func (t *Table) Find(query Query) *Route {
 	if t == nil || len(t.specificities) == 0 {
 		return nil
 	}
 	hashes := t.hashQuery(&query)
 	for _, specificity := range t.specificities {
-		if specificity&(byGroup|byRange) != 0 && query.Group == "" {
+		if specificity&(fieldGroup|fieldRange) != 0 && query.Group == "" {
 			continue
 		}
 		for b := t.buckets[hashes.combine(specificity, &query)]; b != nil; b = b.next {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -11,8 +11,8 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// drawUpdate draws a complete update of routes that may overlap, so that more is tried than a
-// validated log holds.
+// drawUpdate draws a complete update with routes that may overlap. That covers more cases than a validated
+// log contains.
 func drawUpdate(t *rapid.T, label string) routeupdate.Update {
 	update := routeupdate.Update{Complete: true}
 	for i, count := 0, rapid.IntRange(0, 30).Draw(t, label); i < count; i++ {
@@ -74,7 +74,7 @@
 		(m.HashTo == 0 || q.Group != "" && m.HashFrom <= hash && (hash < m.HashTo || m.HashTo == 1))
 }
 
-// mostSpecific reads all entries one by one.
+// mostSpecific finds the most specific matching entry by a linear search.
 func mostSpecific(entries []routeupdate.Entry, query Query) (found *routeupdate.Entry) {
 	for i := range entries {
 		entry := &entries[i]
@@ -88,7 +88,8 @@
 	return found
 }
 
-// A table finds what reading all routes one by one finds, whether it came complete or by changes.
+// A table returns the same route as a linear search over all routes, both after a complete update and after
+// changes.
 func TestFindsTheMostSpecific(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawUpdate(t, "before"), drawUpdate(t, "after")
@@ -114,7 +115,7 @@
 					t.Fatalf("%+v: found %+v, want %+v", query, got, want)
 				}
 				if got != nil && fmt.Sprint(got.Constraint) != fmt.Sprint(compiled.Find(query).Constraint) {
-					t.Fatalf("%+v: bound to %+v, want %+v", query, got.Constraint, compiled.Find(query).Constraint)
+					t.Fatalf("%+v: in %+v, want %+v", query, got.Constraint, compiled.Find(query).Constraint)
 				}
 			}
 		}
@@ -129,18 +130,18 @@
 	nameless := routeupdate.Entry{Owner: "acme"}
 	emptyRange := routeupdate.Entry{Owner: "acme", Name: "r", Match: account.Match{HashFrom: 1, HashTo: 0.5}}
 	for want, update := range map[string]routeupdate.Update{
-		"nothing to change":  {Index: 4, BaseIndex: 3},
+		"without a table":    {Index: 4, BaseIndex: 3},
 		"changes from 2":     {Index: 4, BaseIndex: 2},
 		"changes from 3 to":  {Index: 2, BaseIndex: 3},
 		"no name":            {Index: 4, BaseIndex: 3, Set: []routeupdate.Entry{nameless}},
 		`"acme:r": range 1 `: {Complete: true, Set: []routeupdate.Entry{emptyRange}},
 	} {
 		_, err := good.Apply(update)
-		if want == "nothing to change" {
+		if want == "without a table" {
 			_, err = Compile(update)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %q in it", update, err, want)
+			t.Errorf("%+v: error %v, want one with %q", update, err, want)
 		}
 	}
 }
@@ -158,18 +159,18 @@
 	}
 }
 
-// Ranges of matches are in the replicated log, and nodes of other versions find the same routes by
-// them. The hashes were printed by the code of commit 011f0a6.
+// The ranges of matches are stored in the replicated log, and nodes of all versions must find the same
+// routes with them. The expected hashes were printed by the code of commit 011f0a6.
 func TestGroupHashesStayTheSameAcrossVersions(t *testing.T) {
 	for group, want := range map[string]uint64{"": 0xecba3df2c3383c52, "a": 0xed8170de1919a24d,
 		"room-17": 0xe25596f4b16e46ef, "grüße": 0x897f0658eac118b5} {
 		if got := Hash(group); got != want {
-			t.Errorf("%q is at %#x, want %#x", group, got, want)
+			t.Errorf("Hash(%q) = %#x, want %#x", group, got, want)
 		}
 	}
 }
 
-// benchmarkResult keeps the compiler from dropping what is measured.
+// benchmarkResult keeps the compiler from removing the measured call.
 var benchmarkResult *Route
 
 func BenchmarkFind(b *testing.B) {
@@ -196,8 +197,8 @@
 	}
 }
 
-// benchmarkRoute returns a route and a query that matches it. Of five routes of a tenant, each is
-// of another specificity.
+// benchmarkRoute returns a route and a query that matches it. The five routes of a tenant differ in their
+// specificity.
 func benchmarkRoute(i int) (routeupdate.Entry, Query) {
 	entry := routeupdate.Entry{Name: fmt.Sprint("r", i), Owner: fmt.Sprint("acme/team", i%100)}
 	entry.Match.Tenant = fmt.Sprintf("tenant%d.example", i/5)
--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -6,6 +6,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
+// usageOf returns the usage of a path, and adds it if there is none.
 func (l *Limiter) usageOf(path string) *pathUsage {
 	usage := l.usage[path]
 	if usage == nil {
@@ -15,7 +16,8 @@
 	return usage
 }
 
-// advance begins a half epoch if now is in a later one. Paths without usage are forgotten.
+// advance starts a new half epoch if now is after the end of the current one. Paths without usage are
+// removed.
 func (l *Limiter) advance(now time.Duration) {
 	halfEpoch := int64(now / (l.cfg.Epoch / 2))
 	if halfEpoch <= l.halfEpoch {
@@ -33,8 +35,8 @@
 	l.halfEpoch = halfEpoch
 }
 
-// after returns the usage at the beginning of a later half epoch. What was used is of interest in
-// the next one only.
+// after returns the usage at the beginning of a later half epoch. The tokens that were used are kept for
+// the next half epoch only.
 func (u *pathUsage) after(isNextHalf bool) pathUsage {
 	next := pathUsage{connections: u.connections}
 	if !isNextHalf {
@@ -48,8 +50,8 @@
 	return next
 }
 
-// Usage returns this node's report for its agent, which adds member and time. Paths that have
-// nothing to report are left out.
+// Usage returns this node's report for its agent, which adds the member and the time. Paths with nothing to
+// report are omitted.
 func (l *Limiter) Usage(now time.Duration) account.Usage {
 	l.advance(now)
 	report := account.Usage{
@@ -72,7 +74,7 @@
 	return resourceAmounts{amounts.Connections, amounts.Setups, amounts.Retries, amounts.Probes}
 }
 
-// putNonZero adds a path if it has something to report.
+// putNonZero adds the values of a path unless all of them are zero.
 func putNonZero(byPath map[string]account.Amounts, path string, values resourceAmounts) {
 	if values == (resourceAmounts{}) {
 		return
