--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,7 +11,7 @@
 	"coralrelay/internal/lifecycle"
 )
 
-// captureLog returns what is logged until the test ends.
+// captureLog redirects log lines to the returned buffer until the test ends.
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	var log bytes.Buffer
@@ -21,8 +21,8 @@
 	return &log
 }
 
-// Violations are counted by kind, passed to the handler, and logged once a second with the latest state
-// changes of their session.
+// Violations are counted by kind, passed to the handler, and logged at most once a second with the latest
+// state changes of their session.
 func TestViolationsAreCountedAndLogged(t *testing.T) {
 	log := captureLog(t)
 	handled := 0
@@ -48,35 +48,35 @@
 			lines++
 			for _, part := range []string{"id=a", "endpoint=s1", "waiting to attempting", "second attempt out"} {
 				if !strings.Contains(line, part) {
-					t.Errorf("%q has no %q", line, part)
+					t.Errorf("line %q does not contain %q", line, part)
 				}
 			}
 			if strings.Contains(line, "client gone") {
-				t.Errorf("%q has another session's change", line)
+				t.Errorf("line %q contains a state change of another session", line)
 			}
 		}
 	}
 	if lines != 1 {
-		t.Errorf("%d lines, want 1 a second", lines)
+		t.Errorf("%d lines within a second, want 1", lines)
 	}
-	nextViolationAt.Store(int64(time.Since(processStart)))
+	nextViolationLogAt.Store(int64(time.Since(processStart)))
 	if ReportViolation(ConcurrentAttempt, "a"); strings.Count(log.String(), "invariant violated") != 2 {
-		t.Error("no second line after a second")
+		t.Error("no new line after one second")
 	}
 }
 
-// The ring holds the latest state changes, the oldest first.
+// The ring keeps the latest state changes. History returns them oldest first.
 func TestHistoryIsBounded(t *testing.T) {
 	for i := range 2 * ringSize {
 		StateChanged(fmt.Sprint("h", i%4), lifecycle.Event(i%2), lifecycle.Waiting, lifecycle.Attempting)
 	}
 	if lines := History("h3"); len(lines) != ringSize/4 {
-		t.Errorf("%d lines of %d changes", len(lines), ringSize)
+		t.Errorf("%d lines from a ring of %d state changes", len(lines), ringSize)
 	}
 	StateChanged("h3", lifecycle.CloseEnded, lifecycle.Closing, lifecycle.Closed)
 	lines := History("h3")
 	if last := lines[len(lines)-1]; !strings.Contains(last, "closing to closed") {
-		t.Errorf("the last is %q", last)
+		t.Errorf("last line is %q, want the latest state change", last)
 	}
 }
 
@@ -86,7 +86,7 @@
 		names[reason.String()] = true
 	}
 	if len(names) != int(reasonCount) || names[""] {
-		t.Errorf("%d names of %d reasons", len(names), reasonCount)
+		t.Errorf("%d names for %d reasons", len(names), reasonCount)
 	}
 	Count(RetryAtCapacity)
 	CountAttemptRefusal(lifecycle.EndpointDraining)
@@ -96,7 +96,7 @@
 	}
 }
 
-// Each state change has a line at debug level, with the session's id.
+// Each state change is logged at debug level with the session's id.
 func TestStateChangesAreLoggedAtDebugLevel(t *testing.T) {
 	log := captureLog(t)
 	StateChanged("z", lifecycle.ClientLeft, lifecycle.Waiting, lifecycle.ClientGone)
--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -1,7 +1,7 @@
-// Package audit records what became of sessions and why, for whoever looks for a fault: counts by
-// reason, the latest state changes in a bounded ring, and violations of the invariants of package
-// lifecycle. A violation is counted by kind and logged, once a second, with the ring's entries of its
-// session; the process goes on. Tests make a violation fail with SetViolationHandler.
+// Package audit records the outcomes of sessions for troubleshooting: counts by reason, the latest state
+// changes in a ring buffer, and violations of the invariants of package lifecycle. A violation is counted
+// by kind and logged, at most once a second, with the recorded state changes of its session; the process
+// continues. Tests use SetViolationHandler to fail on a violation.
 //
-// It starts no goroutine. Its functions may be called by several goroutines at once.
+// The package starts no goroutine. Its functions may be called by several goroutines at once.
 package audit
--- a/internal/audit/reason.go
+++ b/internal/audit/reason.go
@@ -6,48 +6,49 @@
 	"coralrelay/internal/lifecycle"
 )
 
-// Reason is why a session, an attempt, an endpoint or a watch took another course than the usual.
+// Reason is the reason for a counted event: the end of a session, the failure or refusal of an attempt, the
+// refusal of a request, the ejection of an endpoint, or a new call to discovery.
 type Reason int
 
-// The reasons, by what they are for.
+// The reasons, grouped by event.
 const (
-	CloseServed         Reason = iota // the endpoint has said BYE
+	CloseServed         Reason = iota // the endpoint sent BYE
 	CloseMigrated                     // the client was sent MOVE
 	CloseUpstreamEnded                // the endpoint closed or reset its connection
-	CloseUpstreamSilent               // the endpoint left a line unanswered, or sent an oversized one
+	CloseUpstreamSilent               // the endpoint did not answer a line, or sent an oversized one
 	CloseClientLeft                   // the client closed its connection
 	CloseHandedOver                   // the successor process serves the session
 	CloseRejected                     // the final answer was BUSY
 	CloseFailed                       // the final answer was a failure
 	CloseBadFirstLine                 // the first line could not be parsed
-	CloseNoFirstLine                  // no first line came in time, or its client made way for others
+	CloseNoFirstLine                  // no first line arrived in time, or the client was evicted for others
 
 	RetryAtCapacity    // the endpoint was at capacity
-	RetryConnectFailed // no connection to the endpoint came up
-	RetryNotSent       // the attempt was not sent for a reason of this process
+	RetryConnectFailed // the connection to the endpoint failed
+	RetryNotSent       // the attempt was not sent because of this process
 	RetryErrored       // the endpoint answered with an error
-	AttemptTimedOut    // the endpoint answered nothing in time
+	AttemptTimedOut    // the endpoint did not answer in time
 	AttemptReset       // the connection broke after the request was written
-	AttemptCancelled   // the client left, or was answered, meanwhile
+	AttemptCancelled   // the client left or was answered during the attempt
 
 	RefuseAttemptClientLeft // an attempt was not made: the client has left
-	RefuseAttemptAnswered   // an attempt was not made: the request has its answer
-	RefuseAttemptInProgress // an attempt was not made: another one is out
-	RefuseAttemptLate       // an attempt was not made: its time, or the retry window, is over
-	RefuseAttemptStale      // an attempt was not made: the endpoint list may not be relied on
-	RefuseAttemptDraining   // an attempt was not made: the endpoint drains or is gone
-	RefuseRequestDraining   // a request was rejected: the node drains
-	RefuseRequestCapacity   // a request was rejected: all sockets are in use, or no descriptor is left
-	RefuseRequestLeft       // a request was not served: its client had left when it was read
+	RefuseAttemptAnswered   // an attempt was not made: the request has its final answer
+	RefuseAttemptInProgress // an attempt was not made: another one is in progress
+	RefuseAttemptLate       // an attempt was not made: its deadline or the retry window has passed
+	RefuseAttemptStale      // an attempt was not made: the lease of the endpoint list has expired
+	RefuseAttemptDraining   // an attempt was not made: the endpoint is draining or removed
+	RefuseRequestDraining   // a request was rejected: the node is draining
+	RefuseRequestCapacity   // a request was rejected: no socket or file descriptor is available
+	RefuseRequestLeft       // a request was not served: the client had left when it was read
 
 	EjectProbeTimedOut      // an endpoint did not answer a probe
-	EjectProbeConnectFailed // no connection for a probe came up
+	EjectProbeConnectFailed // the connection for a probe failed
 	EjectProbeReset         // the connection of a probe broke
 	EjectProbeErrored       // the answer to a probe was not a load report
 
-	ReconnectWatchEnded     // the watch of the endpoint list has ended or fallen silent
-	ReconnectCallFailed     // a call for the endpoint list has failed
-	ReconnectAddressChanged // the discovery service has another address
+	ReconnectWatchEnded     // the watch of the endpoint list ended or timed out
+	ReconnectCallFailed     // a call for the endpoint list failed
+	ReconnectAddressChanged // the address of the discovery service changed
 
 	reasonCount
 )
@@ -63,15 +64,15 @@
 	"reconnect_watch_ended", "reconnect_call_failed", "reconnect_address_changed",
 }
 
-// String returns the reason as it stands in log lines.
+// String returns the name of the reason in log lines.
 func (r Reason) String() string { return reasonNames[r] }
 
 var reasons [reasonCount]atomic.Int64
 
-// Count counts a reason.
+// Count increments the count of a reason.
 func Count(reason Reason) { reasons[reason].Add(1) }
 
-// Counts returns the reasons that were counted, as attributes of a log line.
+// Counts returns the counts that are not zero, as attributes of a log line.
 func Counts() []any {
 	var attributes []any
 	for reason := range reasonCount {
@@ -82,8 +83,8 @@
 	return attributes
 }
 
-// attemptRefusals and requestRefusals are the reasons for which an attempt is not made and a request is
-// not served.
+// attemptRefusals and requestRefusals map the refusals of attempts and of requests to the reasons under
+// which they are counted.
 var (
 	attemptRefusals = map[lifecycle.Refusal]Reason{
 		lifecycle.AlreadyAnswered:   RefuseAttemptAnswered,
@@ -101,14 +102,14 @@
 	}
 )
 
-// CountAttemptRefusal counts the reason for which an attempt was refused.
+// CountAttemptRefusal counts the refusal of an attempt.
 func CountAttemptRefusal(refusal lifecycle.Refusal) { countIn(attemptRefusals, refusal) }
 
-// CountRequestRefusal counts the reason for which a request was refused.
+// CountRequestRefusal counts the refusal of a request.
 func CountRequestRefusal(refusal lifecycle.Refusal) { countIn(requestRefusals, refusal) }
 
-func countIn(known map[lifecycle.Refusal]Reason, refusal lifecycle.Refusal) {
-	if reason, ok := known[refusal]; ok {
+func countIn(reasonOf map[lifecycle.Refusal]Reason, refusal lifecycle.Refusal) {
+	if reason, ok := reasonOf[refusal]; ok {
 		Count(reason)
 	}
 }
--- a/internal/audit/ring.go
+++ b/internal/audit/ring.go
@@ -10,10 +10,10 @@
 	"coralrelay/internal/lifecycle"
 )
 
-// ringSize is how many state changes are kept.
+// ringSize is the number of state changes that are kept.
 const ringSize = 256
 
-// stateChange is one state change of a session.
+// stateChange is a state change of a session.
 type stateChange struct {
 	at       time.Time
 	id       string
@@ -25,7 +25,7 @@
 var ring struct {
 	sync.Mutex
 	changes [ringSize]stateChange
-	next    int // index of the oldest, which is overwritten next
+	next    int // index of the oldest entry, which is overwritten next
 }
 
 // StateChanged records a state change, and logs it at debug level.
@@ -40,8 +40,8 @@
 	}
 }
 
-// History returns the state changes of a session that are kept, the oldest first, each with how long
-// ago it was.
+// History returns the state changes of a session that are still in the ring, oldest first, each with its
+// age.
 func History(id string) (lines []string) {
 	ring.Lock()
 	defer ring.Unlock()
--- a/internal/audit/testing.go
+++ b/internal/audit/testing.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// RunTests runs a package's tests, of which any violation is a failure: it is printed as it happens, and
-// the tests' result is not 0. It is called by TestMain.
+// RunTests runs a package's tests and returns their exit code. It is called by TestMain. Every violation
+// during the tests is printed and makes the exit code differ from 0.
 func RunTests(run func() int) (exitCode int) {
 	var mu sync.Mutex
 	violated := false
--- a/internal/audit/violation.go
+++ b/internal/audit/violation.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// Violation is a kind of broken invariant.
+// Violation is a kind of violated invariant.
 type Violation int
 
 // The kinds of violations.
 const (
-	ImpossibleTransition Violation = iota // an event came in a state in which it can't happen
-	ConcurrentAttempt                     // an attempt began while another one was out
-	SentWhileDraining                     // the first line was written too long after a drain was known
-	SentByExpiredList                     // the first line was written too long after the list's lease had ended
+	ImpossibleTransition Violation = iota // an event occurred in a state in which it is impossible
+	ConcurrentAttempt                     // an attempt began while another one was in progress
+	SentWhileDraining                     // the first line was written too long after a drain became known
+	SentByExpiredList                     // the first line was written too long after the list had expired
 	SentTooLate                           // the first line was written after the attempt's deadline
-	ClosedUnanswered                      // the connection of an unanswered request was closed
-	AnsweredTooLate                       // the final answer was written after the client's time was over
+	ClosedUnanswered                      // a connection with an unanswered request was closed
+	AnsweredTooLate                       // the final answer was written after the request's deadline
 	violationCount
 )
 
 var violationNames = [violationCount]string{"impossible transition", "second attempt out", "sent while draining",
 	"sent by expired list", "sent too late", "closed unanswered", "answered too late"}
 
-// String returns the kind as it stands in log lines.
+// String returns the name of the kind in log lines.
 func (v Violation) String() string { return violationNames[v] }
 
-// violationLogInterval is the least time between two log lines about violations.
+// violationLogInterval is the minimum time between two log lines about violations.
 const violationLogInterval = time.Second
 
 var (
-	violations      [violationCount]atomic.Int64
-	nextViolationAt atomic.Int64 // monotonic nanoseconds since processStart; no line before
-	processStart    = time.Now()
-	handler         atomic.Pointer[func(kind Violation, id string)]
+	violations         [violationCount]atomic.Int64
+	nextViolationLogAt atomic.Int64 // in monotonic nanoseconds since processStart; no log line before
+	processStart       = time.Now()
+	handler            atomic.Pointer[func(kind Violation, id string)]
 )
 
-// SetViolationHandler has a function called for each violation; nil ends that. It is for tests.
+// SetViolationHandler registers a function that is called for each violation; nil removes it. It is for use
+// in tests.
 func SetViolationHandler(handle func(kind Violation, id string)) {
 	if handle == nil {
 		handler.Store(nil)
@@ -46,15 +47,15 @@
 	handler.Store(&handle)
 }
 
-// ReportViolation counts a violation by a session, and logs it with the latest state changes of that session
-// unless one was logged within the last second.
+// ReportViolation counts a violation by a session. It logs the violation with the latest state changes of
+// the session, unless a violation was logged within violationLogInterval (one second).
 func ReportViolation(kind Violation, id string, attributes ...any) {
 	violations[kind].Add(1)
 	if handle := handler.Load(); handle != nil {
 		(*handle)(kind, id)
 	}
-	now, next := time.Since(processStart).Nanoseconds(), nextViolationAt.Load()
-	if now < next || !nextViolationAt.CompareAndSwap(next, now+int64(violationLogInterval)) {
+	now, next := time.Since(processStart).Nanoseconds(), nextViolationLogAt.Load()
+	if now < next || !nextViolationLogAt.CompareAndSwap(next, now+int64(violationLogInterval)) {
 		return
 	}
 	line := []any{"component", "audit", "kind", kind.String(), "id", id,
@@ -62,7 +63,7 @@
 	slog.Error("invariant violated", append(line, attributes...)...)
 }
 
-// ViolationCount returns how many violations of all kinds there were.
+// ViolationCount returns the total number of violations of all kinds.
 func ViolationCount() (count int64) {
 	for kind := range violations {
 		count += violations[kind].Load()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config is the one place where the node's environment and the platform's
-// configuration file are read, checked and given defaults. It starts no goroutine; its
-// errors begin with the variable or key at fault.
+// Package config reads the node's environment variables and the platform's configuration file,
+// validates them and fills in defaults. No other package does so. It starts no goroutine. Its errors
+// begin with the name of the invalid variable or key.
 package config
 
 import (
@@ -16,51 +16,51 @@
 	"coralrelay/internal/settings"
 )
 
-// Config is the configuration that a node is started with.
+// Config is the configuration of a node.
 type Config struct {
 	Name            string
 	Listen          string
 	Discovery       string
-	AdminAddr       string // where operators call; empty for nowhere
-	InheritedFD     int    // the descriptor of the listening socket for clients; 0 if there is none
+	AdminAddr       string // address of the admin interface for operators; empty for none
+	InheritedFD     int    // descriptor of an inherited listening socket for clients; 0 for none
 	Seed            uint64
 	Limits          Limits
-	CachedEndpoints discovery.Update // the list that this node had last; may be old
+	CachedEndpoints discovery.Update // the latest list that this node had; may be out of date
 	Settings        balance.Settings
 
-	fileKeys map[string]any // the file's keys as they are nested, to compare with those of a reload
+	fileKeys map[string]any // the nested keys of the file, compared by Reload
 }
 
-// Limits are those of the node on its machine.
+// Limits are the resource limits of the node on its machine.
 type Limits struct {
-	Cores    float64 // threads that may run Go code
-	MemoryMB int     // MiB of resident memory
-	Sockets  int     // open at once
+	Cores    float64 // number of threads that may run Go code at the same time
+	MemoryMB int     // resident memory in MiB
+	Sockets  int     // number of sockets open at the same time
 }
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 256
 	defaultSockets  = 1024
 	minMemoryMB     = 16
 	minSockets      = 64
-	// maxDeadlineSeconds and maxAttemptsLimit are the most that settings may ask for.
+	// maxDeadlineSeconds and maxAttemptsLimit are the maximum values in the settings.
 	maxDeadlineSeconds = 86400.0 // seconds
 	maxAttemptsLimit   = 1e6
 )
 
-// Environment variables; one that is set wins over its key in the file.
+// Environment variables. A variable that is set overrides the key in the file.
 const (
 	fileVariable      = "BALANCER_CONFIG"
 	nameVariable      = "BALANCER_NAME"
 	listenVariable    = "BALANCER_LISTEN"
-	discoveryVariable = "BALANCER_DISCOVERY" // at the start only
+	discoveryVariable = "BALANCER_DISCOVERY" // ignored on reload
 	adminVariable     = "BALANCER_MGMT"
 	inheritedVariable = "BALANCER_INHERITED_FD"
 )
 
-// document is the form of the file that BALANCER_CONFIG names.
+// document is the JSON form of the file that BALANCER_CONFIG names.
 type document struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -76,8 +76,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the environment through getenv, and the file that it names. The environment's
-// values win. Errors begin with the variable or key at fault.
+// Load reads the environment through getenv, and the file that it names. Environment variables override
+// the file. Errors begin with the name of the invalid variable or key.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(fileVariable)
 	if path == "" {
@@ -90,7 +90,7 @@
 	return parse(raw, getenv)
 }
 
-// parse parses and checks a file's text.
+// parse parses and validates the content of a file.
 func parse(raw []byte, getenv func(string) string) (Config, error) {
 	var f document
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -108,12 +108,12 @@
 		return c, fmt.Errorf("%s: %w", fileVariable, err)
 	}
 	if c.fileKeys["known"] != nil {
-		c.fileKeys["known"] = "" // a list with a form of its own, which is checked by itself
+		c.fileKeys["known"] = "" // the list has its own format and is validated separately
 	}
 	return c, nil
 }
 
-// toConfig checks the file's values and fills in those of the environment.
+// toConfig validates the file's values and applies the environment variables.
 func (f *document) toConfig(getenv func(string) string) (Config, error) {
 	c := Config{Name: firstNonEmpty(getenv(nameVariable), f.Name)}
 	var err error
@@ -130,7 +130,7 @@
 	}
 	if fd := getenv(inheritedVariable); fd != "" {
 		if c.InheritedFD, err = strconv.Atoi(fd); err != nil || c.InheritedFD <= 2 {
-			return c, fmt.Errorf("%s: %q is no descriptor above 2", inheritedVariable, fd)
+			return c, fmt.Errorf("%s: %q is not a file descriptor above 2", inheritedVariable, fd)
 		}
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -156,9 +156,10 @@
 	return c, nil
 }
 
-// address returns the address under key, or that of a variable that is set.
-func address(key, variable, inFile string, getenv func(string) string) (string, error) {
-	addr := inFile
+// address returns the address from the file, or from the variable if that is set. Errors name the key or the
+// variable accordingly.
+func address(key, variable, fileAddr string, getenv func(string) string) (string, error) {
+	addr := fileAddr
 	if v := getenv(variable); v != "" {
 		key, addr = variable, v
 	}
@@ -171,10 +172,10 @@
 	return addr, nil
 }
 
-func firstNonEmpty(words ...string) string {
-	for _, w := range words {
-		if w != "" {
-			return w
+func firstNonEmpty(values ...string) string {
+	for _, value := range values {
+		if value != "" {
+			return value
 		}
 	}
 	return ""
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// An error names the key at fault.
+// An error names the invalid key or variable.
 func TestErrorNamesFaultyKey(t *testing.T) {
 	tests := []struct{ old, new, key string }{
 		{`"listen":"127.0.0.4:7070"`, `"listen":"somewhere"`, "listen"},
@@ -67,18 +67,18 @@
 	}
 	for _, tt := range tests {
 		if _, err := load(t, strings.Replace(validFile, tt.old, tt.new, 1), nil); err == nil || !strings.Contains(err.Error(), tt.key) {
-			t.Errorf("%s in place of %s: error %v, want one that names %s", tt.new, tt.old, err, tt.key)
+			t.Errorf("%s in place of %s: error %v, want one with %s", tt.new, tt.old, err, tt.key)
 		}
 	}
 	if _, err := load(t, validFile, map[string]string{"BALANCER_CONFIG": "/nowhere"}); err == nil || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	if _, err := load(t, validFile, map[string]string{"BALANCER_DISCOVERY": "x"}); err == nil || !strings.Contains(err.Error(), "BALANCER_DISCOVERY") {
-		t.Errorf("variable: %v", err)
+		t.Errorf("invalid variable: %v", err)
 	}
 }
 
-// completeFile is a file as the platform writes it; its settings have more than a node reads.
+// completeFile is a file as the platform writes it. Its settings have keys that a node does not read.
 const completeFile = `{"name":"n3","listen":"127.0.0.4:7070","mgmt":"127.0.0.4:15000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
 "known":{"generation":41,"reset":true,"instances":[{"instanceId":"s1","hostPort":"127.1.0.18:7070","zone":"a","lifecycle":"active","weight":1.0,"startedAtMs":0}]},
@@ -87,8 +87,8 @@
 
 const classText = `{"name":"feed","deadline":1.8,"objective":0.3,"effect":"read_like"}`
 
-// reload starts with a file and reloads another.
-func reload(t testing.TB, first, second string) (c, next Config, fixed []string, err error) {
+// reload loads the first file and then reloads with the second.
+func reload(t testing.TB, first, second string) (c, next Config, restartKeys []string, err error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
@@ -104,16 +104,16 @@
 			}
 		}
 	}
-	next, fixed, err = c.Reload(env)
-	return c, next, fixed, err
+	next, restartKeys, err = c.Reload(env)
+	return c, next, restartKeys, err
 }
 
-// On a reload the file's discovery and its settings count; other keys wait for a restart.
+// A reload applies the file's discovery address and settings; other changed keys need a restart.
 func TestReloadTakesDiscoveryAndSettings(t *testing.T) {
 	for _, tt := range []struct {
-		old, new string
-		fixed    []string
-		want     func(c Config) bool
+		old, new    string
+		restartKeys []string
+		want        func(c Config) bool
 	}{
 		{`127.2.0.1:8500`, `127.2.0.9:8500`, nil, func(c Config) bool { return c.Discovery == "127.2.0.9:8500" }},
 		{`"sockets":4096`, `"sockets":512`, []string{"limits"}, func(c Config) bool { return c.Limits.Sockets == 4096 }},
@@ -129,19 +129,18 @@
 		{`{"instanceId":"s1","hostPort":"127.1.0.18:7070","zone":"a","lifecycle":"active","weight":1.0,"startedAtMs":0}`, ``, nil,
 			func(c Config) bool { return len(c.CachedEndpoints.Endpoints) == 1 }},
 	} {
-		_, next, fixed, err := reload(t, completeFile, strings.Replace(completeFile, tt.old, tt.new, 1))
-		if err != nil || !slices.Equal(fixed, tt.fixed) || !tt.want(next) {
-			t.Errorf("%s: got %+v, fixed %v, %v", tt.new, next, fixed, err)
+		_, next, restartKeys, err := reload(t, completeFile, strings.Replace(completeFile, tt.old, tt.new, 1))
+		if err != nil || !slices.Equal(restartKeys, tt.restartKeys) || !tt.want(next) {
+			t.Errorf("%s: got %+v, restartKeys %v, %v", tt.new, next, restartKeys, err)
 		}
 	}
 }
 
-// A file that can't be used is rejected as a whole, its discovery included, and the error
-// names the key.
+// An invalid file is rejected as a whole, including its discovery address, with an error that names the key.
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	type file struct{ name, text, key string }
 	files := []file{{"empty", "", "BALANCER_CONFIG"}, {"blank", " \n", "BALANCER_CONFIG"}, {"null", "null", "listen"},
-		{"a list", "[]", "BALANCER_CONFIG"}, {"two", completeFile + completeFile, "BALANCER_CONFIG"}, {"binary", "\x00\x01", "BALANCER_CONFIG"}}
+		{"a list", "[]", "BALANCER_CONFIG"}, {"two documents", completeFile + completeFile, "BALANCER_CONFIG"}, {"binary", "\x00\x01", "BALANCER_CONFIG"}}
 	for i := range completeFile {
 		files = append(files, file{fmt.Sprint("cut at ", i), completeFile[:i], "BALANCER_CONFIG"})
 	}
@@ -153,7 +152,7 @@
 		for _, v := range values {
 			names := strings.Trim(name, `"`)
 			if v == "NaN" || v == "1e400" {
-				names = "" // no JSON, or no number of Go's: its reader names what it can
+				names = "" // invalid JSON, or out of range for a float64: the decoder may not name the key
 			}
 			files = append(files, file{name + ":" + v, strings.Replace(completeFile, key, name+":"+v, 1), names})
 		}
@@ -167,21 +166,21 @@
 		file{"a class twice", strings.Replace(completeFile, classText, classText+","+classText, 1), "classes[1].name"},
 		file{"a class without a name", strings.Replace(completeFile, `"feed"`, `""`, 1), "classes[0].name"},
 		file{"a second class without a deadline", strings.Replace(completeFile, classText, classText+`,{"name":"b","objective":1,"effect":"read_like"}`, 1), "classes[1].deadline"},
-		file{"a second class without an aim", strings.Replace(completeFile, classText, classText+`,{"name":"b","deadline":1,"effect":"read_like"}`, 1), "classes[1].objective"},
+		file{"a second class without an objective", strings.Replace(completeFile, classText, classText+`,{"name":"b","deadline":1,"effect":"read_like"}`, 1), "classes[1].objective"},
 		file{"an unknown effect", strings.Replace(completeFile, "read_like", "perhaps", 1), "effect"},
 		file{"no address", strings.Replace(completeFile, "127.2.0.1:8500", "nowhere", 1), "discovery"})
 	for _, f := range files {
 		c, next, _, err := reload(t, completeFile, strings.Replace(f.text, "127.2.0.1:8500", "127.2.0.9:8500", 1))
 		if err == nil || !strings.Contains(err.Error(), f.key) {
-			t.Errorf("%s: error %v, want one that names %q", f.name, err, f.key)
+			t.Errorf("%s: error %v, want one with %q", f.name, err, f.key)
 		}
 		if next.Discovery != c.Discovery || len(next.Settings.Classes) != 1 || next.Settings.Limits != c.Settings.Limits {
-			t.Errorf("%s: part of it took force: %+v", f.name, next)
+			t.Errorf("%s: partly applied: %+v", f.name, next)
 		}
 	}
 }
 
-// Any file that takes force can be served with.
+// A node can serve with any file that is accepted.
 func FuzzReload(f *testing.F) {
 	for _, text := range []string{completeFile, validFile, "", "{}", completeFile[:100], strings.Replace(completeFile, "1.8", "1e300", 1), strings.Replace(completeFile, "6}", "-1}", 1)} {
 		f.Add([]byte(text))
@@ -196,11 +195,11 @@
 			return
 		}
 		if missingKey(first.fileKeys, c.fileKeys, "") == "" && (c.Discovery == "" || len(c.Settings.Classes) == 0 || c.Settings.Limits.MaxAttempts < 1) {
-			t.Errorf("%q: taken as %+v", text, c)
+			t.Errorf("%q: accepted as %+v", text, c)
 		}
 		for _, class := range c.Settings.Classes {
 			if class.Deadline <= 0 || class.Name == "" {
-				t.Errorf("%q: taken with class %+v", text, class)
+				t.Errorf("%q: accepted with class %+v", text, class)
 			}
 		}
 	})
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Reload reads the file again for a node that runs with c. The address of discovery and the
-// settings change while the node runs, and for these the file wins: the environment still
-// has the address of the start. All of the file takes force or none of it: a value that is
-// not allowed, or a missing key that the file in force has, is an error, and c stays as it
-// is. restartKeys names the keys that have changed and need a restart, sorted.
+// Reload reads the file again for a node that runs with c. Only the address of discovery and the settings
+// can change while the node runs. For the address, the file overrides the environment, which still has the
+// value from the start. A reload is applied completely or not at all: if a value is invalid, or a key of the
+// current file is missing, Reload returns an error and c unchanged. The result restartKeys has the changed
+// keys that need a restart, sorted.
 func (c Config) Reload(getenv func(string) string) (next Config, restartKeys []string, err error) {
 	next, err = Load(func(name string) string {
 		if name == discoveryVariable {
@@ -38,21 +38,21 @@
 	return c, restartKeys, nil
 }
 
-// missingKey returns the path of the first key of old that next lacks, or an empty string.
-// The keys that all entries of an old list have, each entry of the new list must have.
+// missingKey returns the path of the first key in old that is missing in next, or an empty string. In a
+// list, each entry of next must have the keys that all entries of old have.
 func missingKey(old, next any, path string) string {
 	switch old := old.(type) {
 	case map[string]any:
 		next, _ := next.(map[string]any)
 		for _, key := range slices.Sorted(maps.Keys(old)) {
-			at := strings.TrimPrefix(path+"."+key, ".")
+			keyPath := strings.TrimPrefix(path+"."+key, ".")
 			if old[key] == nil {
 				continue
 			}
 			if next[key] == nil {
-				return at
+				return keyPath
 			}
-			if missing := missingKey(old[key], next[key], at); missing != "" {
+			if missing := missingKey(old[key], next[key], keyPath); missing != "" {
 				return missing
 			}
 		}
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// commonKeys returns the keys that all entries of a list have; nil if they are no objects.
+// commonKeys returns the keys that all entries of a list have, or nil if the entries are not objects.
 func commonKeys(entries []any) any {
 	if len(entries) == 0 {
 		return nil
@@ -81,9 +81,9 @@
 		return nil
 	}
 	common := maps.Clone(first)
-	for _, e := range entries[1:] {
-		e, _ := e.(map[string]any)
-		maps.DeleteFunc(common, func(key string, _ any) bool { return e[key] == nil })
+	for _, entry := range entries[1:] {
+		entry, _ := entry.(map[string]any)
+		maps.DeleteFunc(common, func(key string, _ any) bool { return entry[key] == nil })
 	}
 	return common
 }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -10,9 +10,9 @@
 	"coralrelay/internal/discovery"
 )
 
-// testdata/stored/config.json, written by hand as nothing here writes one, has every key of
-// the file itself; package settings has the keys of the settings object in a file of its
-// own. It loads to the same values, and the environment variables override it by name.
+// testdata/stored/config.json has every key of the configuration file; the keys of the settings object are
+// covered by package settings. It must always load to the same values, and the environment variables must
+// override it. The file is written by hand, as no program writes one.
 func TestReadsStoredConfig(t *testing.T) {
 	raw, err := os.ReadFile("testdata/stored/config.json")
 	if err != nil {
@@ -27,7 +27,7 @@
 	check := func(env map[string]string) {
 		t.Helper()
 		got, err := load(t, string(raw), env)
-		got.fileKeys = nil // the raw keys, which Reload compares
+		got.fileKeys = nil // the keys that Reload compares
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, %v\nwant %+v", got, err, want)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings object that an instance is given at its start: the
-// adapter finds it in the simulator's first message, the node in its configuration. Names
-// and units are the same in both. It starts no goroutine; its errors name the key at fault.
+// Package settings decodes the settings object of an instance. The simulator adapter receives it in
+// the simulator's first message, the node in its configuration file; names and units are the same in
+// both. The package starts no goroutine. Its errors name the invalid key.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"coralrelay/balance"
 )
 
-// document is the settings object in JSON; times are in seconds. Unknown keys are ignored.
+// document is the JSON form of the settings object. Times are in seconds. Unknown keys are ignored.
 type document struct {
 	Classes []struct {
 		Name      string  `json:"name"`
@@ -54,22 +54,22 @@
 	SlotNo int `json:"slotNo"`
 }
 
-// idempotencies maps the values of a class's effect.
+// idempotencies maps the values of the key effect of a class.
 var idempotencies = map[string]balance.Idempotency{
 	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotencyKeyed, "non_idempotent": balance.NonIdempotent,
 }
 
-// scopes maps the values of a class's group: where the repeats of a key are dropped.
+// scopes maps the values of the key group of a class: the servers among which repeats of a key are dropped.
 var scopes = map[string]balance.KeyScope{
 	"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
-// maxSeconds bounds a time: some three years. Far beyond it a duration overflows, and what
-// was to be endless would be 0.
+// maxSeconds is the maximum of a time, about three years. Much longer times overflow a duration, so
+// that a time meant as unlimited would become 0.
 const maxSeconds = 1e8
 
-// validate returns an error for the first key whose value no deployment can mean. A missing
-// key is 0, which turns off what it is for.
+// validate returns an error for the first key whose value cannot be valid in any deployment. A missing key
+// has the value 0, which disables the feature.
 func (d *document) validate() error {
 	guarantees, limits := &d.Guarantees, &d.Limits
 	times := map[string]float64{"granularity": d.Granularity, "guarantees.askWithin": guarantees.AskWithin,
@@ -79,8 +79,9 @@
 	for i, class := range d.Classes {
 		prefix := fmt.Sprintf("classes[%d].", i)
 		times[prefix+"objective"], times[prefix+"deadline"], times[prefix+"window"] = class.Objective, class.Deadline, class.Window
-		if 2*d.Granularity >= class.Deadline && class.Deadline > 0 { // an answer has to be written two of them before
-			return fmt.Errorf("granularity: %v leaves no time of %sdeadline %v", d.Granularity, prefix, class.Deadline)
+		// Answers must be written two granularities before the deadline.
+		if 2*d.Granularity >= class.Deadline && class.Deadline > 0 {
+			return fmt.Errorf("granularity: %v is not less than half of %sdeadline %v", d.Granularity, prefix, class.Deadline)
 		}
 	}
 	for i, objective := range d.Domain.MessageAim {
@@ -88,19 +89,19 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(times)) {
 		if seconds := times[key]; seconds < 0 || seconds > maxSeconds {
-			return fmt.Errorf("%s: %v is not within 0 to %v", key, seconds, maxSeconds)
+			return fmt.Errorf("%s: %v is not in the range 0 to %v", key, seconds, maxSeconds)
 		}
 	}
-	switch { // 0 is none: no such rule, a ramp without a budget
+	switch { // 0 disables the rule; a slow start then has no budget
 	case guarantees.TipMultiple < 0 || guarantees.TipMultiple > 1e6:
-		return fmt.Errorf("guarantees.tipMultiple: %v is not within 0 to 1e6", guarantees.TipMultiple)
+		return fmt.Errorf("guarantees.tipMultiple: %v is not in the range 0 to 1e6", guarantees.TipMultiple)
 	case d.NInstances < 0:
-		return fmt.Errorf("nInstances: %d is under 0", d.NInstances)
+		return fmt.Errorf("nInstances: %d is negative", d.NInstances)
 	}
 	return nil
 }
 
-// Decode decodes and validates a settings object. Errors name the key at fault.
+// Decode decodes and validates a settings object. Errors name the invalid key.
 func Decode(raw json.RawMessage) (balance.Settings, error) {
 	var d document
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -156,16 +157,16 @@
 	}
 }
 
-// class returns the i-th class.
+// class decodes the i-th class.
 func (d *document) class(i int) (balance.Class, error) {
 	c := &d.Classes[i]
 	idempotency, ok := idempotencies[c.Effect]
 	if !ok {
-		return balance.Class{}, fmt.Errorf("settings.classes[%d].effect: %q is unknown", i, c.Effect)
+		return balance.Class{}, fmt.Errorf("settings.classes[%d].effect: unknown value %q", i, c.Effect)
 	}
 	scope, ok := scopes[c.Group]
 	if !ok {
-		return balance.Class{}, fmt.Errorf("settings.classes[%d].group: %q is unknown", i, c.Group)
+		return balance.Class{}, fmt.Errorf("settings.classes[%d].group: unknown value %q", i, c.Group)
 	}
 	class := balance.Class{
 		Name:             c.Name,
@@ -181,14 +182,14 @@
 	return class, nil
 }
 
-// Seconds converts seconds as the settings have them, rounded to the microsecond.
+// Seconds converts a time in seconds to a duration, rounded to the microsecond.
 func Seconds(s float64) time.Duration {
 	return time.Duration(math.Round(s*1e6)) * time.Microsecond
 }
 
-// ForWatch returns the settings as a real node uses them: it receives no list without a
-// watch. A list that the settings call pushed is watched from the first moment on; where
-// they name no time to subscribe within, defaultSubscribeTimeout stands in.
+// ForWatch returns the settings for a real node, which receives the endpoint list only through a watch. If
+// the settings say that the list is pushed, the node watches it from the start. If they have no
+// SubscribeTimeout, it is set to defaultSubscribeTimeout.
 func ForWatch(s balance.Settings) balance.Settings {
 	s.SubscribeTimeout = cmp.Or(s.SubscribeTimeout, defaultSubscribeTimeout)
 	if !s.SubscribeRequired {
@@ -197,5 +198,5 @@
 	return s
 }
 
-// defaultSubscribeTimeout is when all that a silent watch has missed counts as received.
+// defaultSubscribeTimeout is the time after which changes that a silent watch has missed count as received.
 const defaultSubscribeTimeout = 6 * time.Second
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// withKey is a valid settings object in which one key holds something else.
+// withKey returns a valid settings object in which the value of one key is replaced.
 func withKey(t *testing.T, key string, value any) json.RawMessage {
 	t.Helper()
 	var s map[string]any
@@ -18,17 +18,17 @@
 		"limits":{"connectTimeout":0.25,"maxRetryAfter":1,"mostTries":6}}`), &s); err != nil {
 		t.Fatal(err)
 	}
-	at := s
+	object := s
 	path := strings.Split(key, ".")
-	for _, w := range path[:len(path)-1] {
-		switch next := at[w].(type) {
+	for _, name := range path[:len(path)-1] {
+		switch next := object[name].(type) {
 		case map[string]any:
-			at = next
+			object = next
 		case []any:
-			at = next[0].(map[string]any)
+			object = next[0].(map[string]any)
 		}
 	}
-	at[path[len(path)-1]] = value
+	object[path[len(path)-1]] = value
 	raw, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	return raw
 }
 
-// A value that no deployment can mean is rejected, and the error names its key: a negative time
-// took a bound away, and one of 1e13 s overflowed to none at all.
+// A value that cannot be valid in any deployment is rejected with an error that names its key. A negative
+// time used to remove a limit, and a time of 1e13 s overflowed, with the same effect.
 func TestRejectsImpossibleValues(t *testing.T) {
 	times := []string{"granularity", "guarantees.askWithin", "guarantees.drainGrace", "guarantees.graceToAnswer", "guarantees.rampTime",
 		"guarantees.tipAfter", "limits.connectTimeout", "limits.maxRetryAfter", "classes.objective", "classes.window"}
@@ -48,7 +48,7 @@
 				t.Errorf("%s: %v: %v", key, value, err)
 			}
 		}
-		if _, err := Decode(withKey(t, key, 0)); err != nil { // 0 turns off what it is for
+		if _, err := Decode(withKey(t, key, 0)); err != nil { // 0 disables the feature
 			t.Errorf("%s: 0: %v", key, err)
 		}
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// Unknown keys are ignored, and so are unknown values where a missing one is harmless.
+// Unknown keys are ignored, and so are unknown values of keys that may be missing without harm.
 func TestIgnoresUnknownKeys(t *testing.T) {
 	for key, value := range map[string]any{"colour": "red", "registryMode": "by_pigeon", "report": map[string]any{"via": "smoke"}} {
 		if _, err := Decode(withKey(t, key, value)); err != nil {
@@ -69,10 +69,10 @@
 	}
 }
 
-// A node whose settings name no time to subscribe within uses the protocol's: with none it
-// would have no backoff.
+// If the settings have no SubscribeTimeout, a node uses that of the protocol; without one it would have no
+// backoff.
 func TestWatchedListHasSubscribeTimeout(t *testing.T) {
-	for mode, now := range map[string]bool{"on_request": false, "pushed": true} {
+	for mode, immediately := range map[string]bool{"on_request": false, "pushed": true} {
 		for _, within := range []float64{0, 10} {
 			s, err := Decode(withKey(t, "guarantees.askWithin", within))
 			if err != nil {
@@ -83,7 +83,7 @@
 			if within == 0 {
 				want = defaultSubscribeTimeout
 			}
-			if got := ForWatch(s); !got.SubscribeRequired || got.SubscribeImmediately != now || got.SubscribeTimeout != want {
+			if got := ForWatch(s); !got.SubscribeRequired || got.SubscribeImmediately != immediately || got.SubscribeTimeout != want {
 				t.Error(fmt.Sprint(mode, " ", within), got.SubscribeRequired, got.SubscribeImmediately, got.SubscribeTimeout)
 			}
 		}
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -10,8 +10,8 @@
 	"coralrelay/balance"
 )
 
-// testdata/stored/settings.json, written by hand as nothing here writes settings, has every
-// key and every value of the enumerated ones. It decodes to the same values.
+// testdata/stored/settings.json has every key, and every value of the keys with a fixed set of values. It
+// must always decode to the same settings. The file is written by hand, as no program writes settings.
 func TestReadsStoredSettings(t *testing.T) {
 	raw, err := os.ReadFile("testdata/stored/settings.json")
 	if err != nil {
@@ -30,7 +30,7 @@
 			LoadReporting: balance.LoadReporting{InProbeResults: true},
 			Connections:   balance.ConnectionTraits{GroupAffinity: true}}
 	}
-	for _, tt := range []struct { // booleans one at a time, so that two that are exchanged are noticed
+	for _, tt := range []struct { // booleans change one at a time, so that a swap of two is detected
 		old, new string
 		change   func(s *balance.Settings)
 	}{
