--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -24,12 +24,12 @@
 	},
 	Migrating: {ClientLeft: ClientGone, CloseBegun: Closing},
 	HandingOver: {
-		MigrationRequested: HandoverRevoked, SuccessorAsked: Offered, ClientLeft: ClientGone, CloseBegun: Closing,
+		MigrationRequested: HandoverRevoked, SessionOffered: Offered, ClientLeft: ClientGone, CloseBegun: Closing,
 	},
-	HandoverRevoked: {ClientLeft: ClientGone, CloseBegun: Closing, SuccessorAsked: HandoverRevoked},
+	HandoverRevoked: {ClientLeft: ClientGone, CloseBegun: Closing, SessionOffered: HandoverRevoked},
 	Offered:         {SuccessorAccepted: HandedOver, SuccessorRefused: Migrating, ClientLeft: Offered},
 	HandedOver:      {CloseBegun: Closing, ClientLeft: HandedOver},
-	ClientGone:      {CloseBegun: Closing, AttemptEnded: ClientGone, ClientLeft: ClientGone, SuccessorAsked: ClientGone},
+	ClientGone:      {CloseBegun: Closing, AttemptEnded: ClientGone, ClientLeft: ClientGone, SessionOffered: ClientGone},
 	Closing:         {CloseEnded: Closed, AttemptEnded: Closing, ClientLeft: Closing},
 	Closed:          {AttemptEnded: Closed, ClientLeft: Closed},
 }
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -49,7 +49,7 @@
 	UpReceived                      // an endpoint has answered UP
 	MigrationRequested              // MOVE is to be sent to the client
 	HandoverRequested               // the session is to be handed over to the successor
-	SuccessorAsked                  // the successor has been asked to take over the session
+	SessionOffered                  // the successor has been asked to take over the session
 	SuccessorAccepted               // the successor has taken over the session
 	SuccessorRefused                // the successor has refused the session: MOVE is to be sent to the client
 	ClientLeft                      // the client has closed its connection, or the connection broke
@@ -95,7 +95,7 @@
 	{Migrating, CloseBegun}: Closing,
 
 	{HandingOver, MigrationRequested}: HandoverRevoked,
-	{HandingOver, SuccessorAsked}:     Offered,
+	{HandingOver, SessionOffered}:     Offered,
 	{HandingOver, ClientLeft}:         ClientGone,
 	{HandingOver, CloseBegun}:         Closing,
 
@@ -125,6 +125,6 @@
 	{Closing, AttemptEnded}:           true,
 	{Closed, AttemptEnded}:            true,
 	{Closed, ClientLeft}:              true,
-	{HandoverRevoked, SuccessorAsked}: true, // the session is not offered any more
-	{ClientGone, SuccessorAsked}:      true,
+	{HandoverRevoked, SessionOffered}: true, // the session is not offered any more
+	{ClientGone, SessionOffered}:      true,
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -55,7 +55,7 @@
 // connection any more. With EndMigrated the client is still to be sent MOVE.
 func (s *Session) offerToSuccessor(upstream *bufconn.Conn) EndReason {
 	s.mu.Lock()
-	s.apply(lifecycle.SuccessorAsked)
+	s.apply(lifecycle.SessionOffered)
 	state, successor := s.life.State(), s.successor
 	offer := EstablishedSession{
 		Request:      s.Request,
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -29,7 +29,7 @@
 }
 
 func drawEntry(t *rapid.T, name string) routeupdate.Entry {
-	words := rapid.SampledFrom([]string{"", "a", "b"})
+	names := rapid.SampledFrom([]string{"", "a", "b"})
 	yes, no := true, false
 	flags := rapid.SampledFrom([]*bool{nil, &no, &yes})
 	entry := routeupdate.Entry{
@@ -38,9 +38,9 @@
 		Contract: rapid.SampledFrom([]string{"", "c1", "c2"}).Draw(t, "contract"),
 	}
 	entry.Match = account.Match{
-		Class:     words.Draw(t, "class"),
-		Tenant:    words.Draw(t, "tenant"),
-		Group:     words.Draw(t, "group"),
+		Class:     names.Draw(t, "class"),
+		Tenant:    names.Draw(t, "tenant"),
+		Group:     names.Draw(t, "group"),
 		Returning: flags.Draw(t, "returning"),
 		Retry:     flags.Draw(t, "retry"),
 	}
@@ -53,11 +53,11 @@
 }
 
 func drawQuery(t *rapid.T) Query {
-	words := rapid.SampledFrom([]string{"", "a", "b", "c"})
+	names := rapid.SampledFrom([]string{"", "a", "b", "c"})
 	return Query{
-		Class:     words.Draw(t, "class"),
-		Tenant:    words.Draw(t, "tenant"),
-		Group:     words.Draw(t, "group"),
+		Class:     names.Draw(t, "class"),
+		Tenant:    names.Draw(t, "tenant"),
+		Group:     names.Draw(t, "group"),
 		GroupHash: uint64(rapid.IntRange(0, 15).Draw(t, "hash")) << 60,
 		Returning: rapid.Bool().Draw(t, "returning"),
 		Retry:     rapid.Bool().Draw(t, "retry"),
