--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -92,7 +92,7 @@
 	CountAttemptRefusal(lifecycle.EndpointDraining)
 	CountRequestRefusal(lifecycle.None)
 	if text := fmt.Sprint(Counts()...); !strings.Contains(text, "retry_at_capacity") || !strings.Contains(text, "refuse_attempt_draining") {
-		t.Errorf("counts %q", text)
+		t.Errorf("counts are %q", text)
 	}
 }
 
@@ -101,6 +101,6 @@
 	log := captureLog(t)
 	StateChanged("z", lifecycle.ClientLeft, lifecycle.Waiting, lifecycle.ClientGone)
 	if line := log.String(); !strings.Contains(line, "id=z") || !strings.Contains(line, `to="client gone"`) {
-		t.Errorf("logged %q", line)
+		t.Errorf("log line %q", line)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the node's environment variables and the platform's configuration file,
-// validates them and fills in defaults. No other package does so. It starts no goroutine. Its errors
-// begin with the name of the invalid variable or key.
+// validates them and fills in defaults; no other package reads them. It starts no goroutine. Its
+// errors begin with the name of the invalid variable or key.
 package config
 
 import (
--- a/internal/dispatch/eventloop_test.go
+++ b/internal/dispatch/eventloop_test.go
@@ -17,10 +17,10 @@
 	clock := NewClock()
 	now := time.Now()
 	if off := clock.At(now) - time.Duration(now.UnixNano()); off.Abs() > time.Second {
-		t.Errorf("now is %v off Unix time", off)
+		t.Errorf("At(now) differs from Unix time by %v", off)
 	}
 	if got := clock.At(now.Add(time.Hour)) - clock.At(now); got != time.Hour {
-		t.Errorf("an hour counts %v", got)
+		t.Errorf("an hour later At returns %v more", got)
 	}
 }
 
@@ -173,7 +173,7 @@
 	receive(t, submit(loop, endpoints, Request{ID: "a"}).done)
 	select {
 	case <-first.done:
-		t.Error("the first was answered too")
+		t.Error("the first placement was answered too")
 	default:
 	}
 }
@@ -185,7 +185,7 @@
 	placement := submit(loop, endpoints, Request{ID: "a", CurrentServer: "s7"})
 	for range 2 {
 		if s := receive(t, endpoints.started); s != "s7" {
-			t.Fatalf("started at %s", s)
+			t.Fatalf("attempt started at %s, want s7", s)
 		}
 		loop.AttemptEnded(placement, 0, "s7", balance.ConnectFailed, 0, balance.EmptyLoadReport)
 	}
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -61,7 +61,7 @@
 	}
 	loop.RunOnLoop(func(time.Duration) {
 		if !slices.Equal(router.calls, want) {
-			t.Errorf("%q, want %q", router.calls, want)
+			t.Errorf("calls %q, want %q", router.calls, want)
 		}
 	})
 }
--- a/internal/listlease/lease_cases_test.go
+++ b/internal/listlease/lease_cases_test.go
@@ -93,7 +93,7 @@
 	}, 8 * time.Second},
 }
 
-// endWatch confirms the list one second before a time, and then ends the watch from the side of the service.
+// endWatch confirms the list one second before the given time, at which the service then ends the watch.
 func (l *Lease) endWatch(after time.Duration) {
 	l.Confirm(at(after-time.Second), 2)
 	l.CallEnded(ended(after-time.Second, time.Second, WatchEnded))
--- a/internal/route/limiter_test.go
+++ b/internal/route/limiter_test.go
@@ -159,7 +159,7 @@
 			}
 		}
 		if all < 10*limit-float64(holderCount)-1 {
-			t.Fatalf("%v in ten seconds, of %v a second", all, limit)
+			t.Fatalf("%v set-ups in ten seconds with a limit of %v a second", all, limit)
 		}
 	})
 }
@@ -173,7 +173,7 @@
 		want := i%4 != 3
 		ok, full := l.Admit(now, &route, false)
 		if ok != want || !ok && full != "gold" {
-			t.Errorf("session %d: %v, full %q", i, ok, full)
+			t.Errorf("session %d: admitted %v, full %q", i, ok, full)
 		}
 	}
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -115,7 +115,7 @@
 					t.Fatalf("%+v: found %+v, want %+v", query, got, want)
 				}
 				if got != nil && fmt.Sprint(got.Constraint) != fmt.Sprint(compiled.Find(query).Constraint) {
-					t.Fatalf("%+v: in %+v, want %+v", query, got.Constraint, compiled.Find(query).Constraint)
+					t.Fatalf("%+v: zones %+v, want %+v", query, got.Constraint, compiled.Find(query).Constraint)
 				}
 			}
 		}
