--- a/internal/route/limiter.go
+++ b/internal/route/limiter.go
@@ -34,8 +34,9 @@
 // usage counts against the lease when it arrives. In each half epoch the fleet therefore exceeds a limit by
 // at most the sum of all even shares, which is half of the limit's tokens for an epoch plus one. Attempts
 // after a first, and probes, are made by package balance and counted when they are made; they can exceed
-// the limit beyond that. The number of established connections is limited by the last lease until that is older
-// than HolderTimeout, and by the even share afterwards. Established connections are never revoked.
+// the limit beyond that. The number of established connections is limited by the last lease until that
+// lease is older than HolderTimeout, and by the even share afterwards. Established connections are never
+// revoked.
 type Limiter struct {
 	cfg               account.LeaseConfig
 	halfEpoch         int64
