--- a/internal/bufconn/arrived.go
+++ b/internal/bufconn/arrived.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// ReadArrived reads what has arrived on a connection, without waiting and whatever the read deadline is. It returns 0
+// ReadAvailable reads what has arrived on a connection, without waiting and whatever the read deadline is. It returns 0
 // and no error if nothing has, and io.EOF if nothing will come any more.
-func ReadArrived(conn net.Conn, buffer []byte) (n int, err error) {
+func ReadAvailable(conn net.Conn, buffer []byte) (n int, err error) {
 	err = WithDescriptor(conn, func(fd int) error {
 		for {
 			read, readErr := syscall.Read(fd, buffer)
@@ -30,12 +30,12 @@
 	return n, err
 }
 
-// DiscardArrived reads and discards what has arrived on a connection, and returns the last of it; nil if nothing was
+// DiscardAvailable reads and discards what has arrived on a connection, and returns the last of it; nil if nothing was
 // there.
-func DiscardArrived(conn net.Conn) (last []byte) {
+func DiscardAvailable(conn net.Conn) (last []byte) {
 	buffer := make([]byte, BufferSize)
 	for range fastDiscardBytes / BufferSize {
-		n, err := ReadArrived(conn, buffer)
+		n, err := ReadAvailable(conn, buffer)
 		if n == 0 || err != nil {
 			break
 		}
--- a/internal/bufconn/conn.go
+++ b/internal/bufconn/conn.go
@@ -190,7 +190,7 @@
 // unread input would reset the connection. Then it closes the connection and releases the buffers.
 func (c *Conn) Linger() {
 	c.DiscardInput()
-	_ = DiscardArrived(c.Conn)
+	_ = DiscardAvailable(c.Conn)
 	c.Release()
 }
 
--- a/internal/downstream/firstline.go
+++ b/internal/downstream/firstline.go
@@ -75,7 +75,7 @@
 	evicted := timedOut && time.Now().Before(client.deadline)
 	switch {
 	case timedOut && silent, evicted:
-		client.requestRead = endsRequest(bufconn.DiscardArrived(client.conn))
+		client.requestRead = endsRequest(bufconn.DiscardAvailable(client.conn))
 		audit.Count(audit.CloseNoFirstLine)
 		_ = s.lingeringClose(client, conn, s.busyLine())
 	case silent: // the client has left
@@ -114,7 +114,7 @@
 // newSession returns the session of a request that was read from conn. Its time counts from its arrival
 // at this machine: the connection may have waited for capacity, or the process may have been held up.
 func (s *Server) newSession(conn *bufconn.Conn, request *lineproto.ConnectRequest) *proxy.Session {
-	timeout := min(request.Patience, maxRequestTimeout) - deadlineMargin - bufconn.SinceLastArrival(conn.Conn)
+	timeout := min(request.Timeout, maxRequestTimeout) - deadlineMargin - bufconn.SinceLastArrival(conn.Conn)
 	placement := proxy.Request{
 		ID:            request.ID,
 		Class:         request.Class,
--- a/internal/lineproto/reply.go
+++ b/internal/lineproto/reply.go
@@ -15,7 +15,7 @@
 	Malformed Reply = iota
 	Up
 	Busy
-	ErrReply
+	Failed
 	Bye
 	Moved
 )
@@ -32,7 +32,7 @@
 	case busyKeyword:
 		return Busy, reportOrEmpty(rest)
 	case Error:
-		return ErrReply, reportOrEmpty(rest)
+		return Failed, reportOrEmpty(rest)
 	case byeKeyword:
 		return Bye, reportOrEmpty(rest)
 	case Move:
--- a/internal/lineproto/request.go
+++ b/internal/lineproto/request.go
@@ -25,7 +25,7 @@
 	Group          string        // empty where the line names none
 	Endpoint       string        // at: the endpoint that already serves it; empty if none
 	Tenant         string        // realm; empty where the line names none
-	Patience       time.Duration // d: how long the client waits for the final answer
+	Timeout       time.Duration // d: how long the client waits for the final answer
 	LoadHint       float64       // h
 	Retry          bool          // r: the client's own repeat
 	Returned       bool          // again: the client returns after a break or a move
@@ -107,7 +107,7 @@
 		if ms < 0 || ms > float64(maxPatience/time.Millisecond) {
 			return fmt.Errorf("%.40q is out of range", value)
 		}
-		o.Patience = time.Duration(ms * float64(time.Millisecond))
+		o.Timeout = time.Duration(ms * float64(time.Millisecond))
 	}
 	return nil // names that are not known here are forwarded as they are
 }
--- a/internal/lineproto/request_test.go
+++ b/internal/lineproto/request_test.go
@@ -15,10 +15,10 @@
 		want       ConnectRequest // without its head and tail; zero if the line is malformed
 	}{
 		{"all", "OPEN 9b k1 c=chat,d=2000,g=5c,r=1,again=1,at=s-1,h=0.25,new=x",
-			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Group: "5c", Endpoint: "s-1", Patience: 2 * time.Second, LoadHint: 0.25,
+			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Group: "5c", Endpoint: "s-1", Timeout: 2 * time.Second, LoadHint: 0.25,
 				Retry: true, Returned: true}},
-		{"least", "OPEN 9b k1 c=chat,d=1.5", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Patience: 1500 * time.Microsecond}},
-		{"flags off", "OPEN 9b k1 r=0,again=0,c=chat,d=1", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Patience: time.Millisecond}},
+		{"least", "OPEN 9b k1 c=chat,d=1.5", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: 1500 * time.Microsecond}},
+		{"flags off", "OPEN 9b k1 r=0,again=0,c=chat,d=1", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: time.Millisecond}},
 		{"empty", "", ConnectRequest{}},
 		{"other word", "GET / HTTP/1.1", ConnectRequest{}},
 		{"lower case", "open 9b k1 c=chat,d=1", ConnectRequest{}},
@@ -111,7 +111,7 @@
 		want Reply
 	}{
 		{"UP r1", Up}, {"UP", Malformed}, {"UPPER r1", Malformed}, {"BUSY", Busy}, {"BUSY x0=0.5", Busy},
-		{"ERR", ErrReply}, {"ERR inflight=7,queue=2", ErrReply}, {"BYE", Bye}, {"MOVE", Moved}, {"", Malformed},
+		{"ERR", Failed}, {"ERR inflight=7,queue=2", Failed}, {"BYE", Bye}, {"MOVE", Moved}, {"", Malformed},
 		{"SYNTAX", Malformed}, {"\x00\x01", Malformed},
 	}
 	for _, tt := range tests {
