--- a/internal/bufconn/arrival.go
+++ b/internal/bufconn/arrival.go
@@ -7,12 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxArrivalAge is the oldest arrival that is believed: nothing is left unread for longer.
+// maxArrivalAge is the largest plausible age of the last received bytes, as no input stays unread
+// for longer. SinceLastArrival returns 0 for a larger one.
 const maxArrivalAge = 10 * time.Second
 
-// SinceLastArrival returns how long ago the latest bytes of a TCP connection have arrived at this
-// machine, whenever they were read: a connection may have waited to be accepted, and the process may
-// have been held up. It is 0 where the system does not say.
+// SinceLastArrival returns how long ago the kernel received the latest bytes of a TCP connection,
+// regardless of when they are read: the connection may have waited in the accept queue, or this
+// process may have been paused. It returns 0 if the kernel does not report the time.
 func SinceLastArrival(conn net.Conn) time.Duration {
 	var age time.Duration
 	err := WithDescriptor(conn, func(fd int) error {
--- a/internal/bufconn/arrived.go
+++ b/internal/bufconn/arrived.go
@@ -7,8 +7,9 @@
 	"syscall"
 )
 
-// ReadAvailable reads what has arrived on a connection, without waiting and whatever the read deadline is. It returns 0
-// and no error if nothing has, and io.EOF if nothing will come any more.
+// ReadAvailable reads the bytes that have already been received on a connection. It does not block
+// and ignores the read deadline. It returns 0 and a nil error if no bytes are available, and io.EOF
+// if the peer has closed its sending side.
 func ReadAvailable(conn net.Conn, buffer []byte) (n int, err error) {
 	err = WithDescriptor(conn, func(fd int) error {
 		for {
@@ -30,8 +31,8 @@
 	return n, err
 }
 
-// DiscardAvailable reads and discards what has arrived on a connection, and returns the last of it; nil if nothing was
-// there.
+// DiscardAvailable reads and discards the bytes that have already been received on a connection, up
+// to fastDiscardBytes. It returns the bytes of the last successful read, or nil if there were none.
 func DiscardAvailable(conn net.Conn) (last []byte) {
 	buffer := make([]byte, BufferSize)
 	for range fastDiscardBytes / BufferSize {
--- a/internal/bufconn/conn.go
+++ b/internal/bufconn/conn.go
@@ -1,10 +1,10 @@
-// Package bufconn wraps a network connection, of a client or to an upstream, with buffers
-// for reading and writing lines. It builds on net/textproto; all buffers have one size, that
-// of the longest line, and come from one pool.
+// Package bufconn wraps a network connection, to a client or an upstream, with buffers for reading
+// and writing lines. It builds on net/textproto. All buffers have the size of the longest allowed
+// line and come from one pool.
 //
-// The package starts no goroutines. Its methods return the errors of the connection, those
-// of a deadline included (os.ErrDeadlineExceeded), and bufio.ErrBufferFull for a line that
-// is too long.
+// The package starts no goroutines. Its methods return the errors of the underlying connection,
+// including os.ErrDeadlineExceeded when a deadline has passed, and bufio.ErrBufferFull for a line
+// that is longer than BufferSize.
 package bufconn
 
 import (
@@ -17,13 +17,14 @@
 	"time"
 )
 
-// BufferSize is the length of the longest line and the size of every buffer, in bytes.
+// BufferSize is the maximum length of a line and the size of every buffer, in bytes.
 const BufferSize = 4096
 
 const (
-	// fastDiscardBytes is how much DiscardInput reads at full speed.
+	// fastDiscardBytes is how many bytes DiscardInput reads without pausing, and the most that
+	// DiscardAvailable reads.
 	fastDiscardBytes = 16 * BufferSize
-	// slowDiscardPause is its pause between two buffers beyond that.
+	// slowDiscardPause is the pause between two reads of DiscardInput beyond fastDiscardBytes.
 	slowDiscardPause = 25 * time.Millisecond
 )
 
@@ -31,19 +32,20 @@
 	return bufio.NewReadWriter(bufio.NewReaderSize(nil, BufferSize), bufio.NewWriterSize(nil, BufferSize))
 }}
 
-// PastDeadline is a read deadline that interrupts a read at once.
+// PastDeadline is a time in the past. Set as the read deadline, it interrupts a pending read at
+// once.
 var PastDeadline = time.Unix(1, 0)
 
-// Conn is a connection with its buffers. One goroutine at a time may read and one may
-// write; Close, InterruptRead and SetReadDeadline may be called by any.
+// Conn is a buffered network connection. At most one goroutine may read and one may write at a
+// time; Close, InterruptRead and SetReadDeadline may be called concurrently with them.
 type Conn struct {
 	net.Conn
 	textproto.Reader
 	textproto.Writer
-	pooled *bufio.ReadWriter // nil after Release
+	pooled *bufio.ReadWriter // nil once the buffers are back in the pool
 }
 
-// New returns a Conn on conn. It holds buffers until Release.
+// New returns a Conn on conn. It takes its buffers from the pool; Release and Detach return them.
 func New(conn net.Conn) *Conn {
 	buffers := bufferPool.Get().(*bufio.ReadWriter)
 	buffers.Reader.Reset(conn)
@@ -56,8 +58,8 @@
 	}
 }
 
-// NewWithUnread returns a Conn on conn whose input starts with bytes that another process
-// had read from the connection and not used.
+// NewWithUnread returns a Conn on conn whose input starts with unread: bytes that another process
+// has read from the connection but not processed.
 func NewWithUnread(conn net.Conn, unread []byte) *Conn {
 	c := New(conn)
 	if len(unread) > 0 {
@@ -66,18 +68,18 @@
 	return c
 }
 
-// Unread returns what was read from the connection and not used. It is valid until the next
-// read.
+// Unread returns the bytes that were read from the connection and not yet consumed. The slice is
+// valid until the next read.
 func (c *Conn) Unread() []byte {
-	unread, _ := c.R.Peek(c.R.Buffered()) // can't fail: all of it is buffered
+	unread, _ := c.R.Peek(c.R.Buffered()) // cannot fail: only buffered bytes are requested
 	return unread
 }
 
-// ReadRawLine returns the next line with its line end, valid until the next read. A read
-// that fails consumes nothing, as a deadline may pass in the middle of a line that is still
-// on its way. It replaces textproto's ReadLine, which takes a line that is cut off by the
-// end of the connection for a complete one and reads an endless one until memory runs out:
-// here the first is io.EOF, the second bufio.ErrBufferFull.
+// ReadRawLine returns the next line including its line ending. The slice is valid until the next
+// read. A failed read consumes nothing, as the read deadline may pass while the rest of a line is
+// still to arrive. ReadRawLine replaces textproto.Reader.ReadLine, which accepts a line that is
+// truncated by the end of the connection as complete, and reads an endless line until memory is
+// exhausted: ReadRawLine returns io.EOF for the former and bufio.ErrBufferFull for the latter.
 func (c *Conn) ReadRawLine() ([]byte, error) {
 	for {
 		line, complete := c.firstLine()
@@ -94,8 +96,8 @@
 	}
 }
 
-// firstLine returns what is buffered, up to the end of the first line, and whether that end
-// is there.
+// firstLine returns the buffered bytes up to and including the first newline, and whether that
+// newline is buffered.
 func (c *Conn) firstLine() (line []byte, complete bool) {
 	unread := c.Unread()
 	if i := bytes.IndexByte(unread, '\n'); i >= 0 {
@@ -110,9 +112,9 @@
 	return complete
 }
 
-// ReadTextLineBefore returns the next line without its line end, read before the deadline. A deadline
-// that a read has set before does not count any more, and its own is left: Detach clears it, or the
-// reader that comes next.
+// ReadTextLineBefore returns the next line without its line ending, read before deadline. The
+// deadline replaces an earlier read deadline and stays set until Detach or the next reader changes
+// it.
 func (c *Conn) ReadTextLineBefore(deadline time.Time) ([]byte, error) {
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
@@ -120,13 +122,13 @@
 	return c.ReadTextLine()
 }
 
-// ReadTextLine returns the next line without its line end, by the read deadline as it is.
+// ReadTextLine returns the next line without its line ending. The current read deadline applies.
 func (c *Conn) ReadTextLine() ([]byte, error) {
 	line, err := c.ReadRawLine()
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// WriteLine writes a line and its line end before the deadline.
+// WriteLine writes line and a line ending before deadline.
 func (c *Conn) WriteLine(line string, deadline time.Time) error {
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return err
@@ -134,8 +136,8 @@
 	return c.PrintfLine("%s", line)
 }
 
-// AppendLine buffers a line that has its line end. If the buffer has no room for it, what is buffered is
-// written before the deadline.
+// AppendLine buffers line, which includes its line ending. If the buffer has no room for it, the
+// buffered bytes are written before deadline.
 func (c *Conn) AppendLine(line []byte, deadline time.Time) error {
 	if len(line) > c.W.Available() {
 		if err := c.SetWriteDeadline(deadline); err != nil {
@@ -146,7 +148,7 @@
 	return err
 }
 
-// Flush writes what is buffered before the deadline.
+// Flush writes the buffered bytes before deadline.
 func (c *Conn) Flush(deadline time.Time) error {
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return err
@@ -154,11 +156,11 @@
 	return c.W.Flush()
 }
 
-// InterruptRead ends a read that is waiting, and all later ones until the read deadline is
-// set again, with os.ErrDeadlineExceeded.
+// InterruptRead makes a pending read, and all later reads until the read deadline is set again,
+// fail with os.ErrDeadlineExceeded.
 func (c *Conn) InterruptRead() { _ = c.SetReadDeadline(PastDeadline) }
 
-// Abort closes a TCP connection with a reset.
+// Abort closes the connection. A TCP connection is reset.
 func (c *Conn) Abort() {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = tcp.SetLinger(0)
@@ -166,17 +168,17 @@
 	_ = c.Close()
 }
 
-// CloseWrite closes the sending half. What was written arrives then, although unread input
-// would turn a plain close into a reset.
+// CloseWrite closes the sending side of the connection. Bytes written before still reach the peer,
+// whereas a plain close with unread input would reset the connection.
 func (c *Conn) CloseWrite() {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = closer.CloseWrite()
 	}
 }
 
-// LingeringClose writes a last line before the deadline, closes the connection and releases
-// the buffers. For as long as linger it discards what the other side still sends, so that
-// unread input does not reset the connection before the last line was read. It returns the
+// LingeringClose writes a last line before deadline, closes the connection and releases the
+// buffers. Before it closes the connection, it discards further input for up to linger, so that
+// unread input does not reset the connection before the peer has read the last line. It returns the
 // error of the write.
 func (c *Conn) LingeringClose(line string, deadline time.Time, linger time.Duration) error {
 	err := c.WriteLine(line, deadline)
@@ -186,18 +188,19 @@
 	return err
 }
 
-// Linger discards what the other side still sends until the read deadline, and what has arrived by then, since
-// unread input would reset the connection. Then it closes the connection and releases the buffers.
+// Linger discards input until the peer closes its sending side or the read deadline passes, and
+// then the input that has already been received, since unread input would reset the connection. It
+// then closes the connection and releases the buffers.
 func (c *Conn) Linger() {
 	c.DiscardInput()
 	_ = DiscardAvailable(c.Conn)
 	c.Release()
 }
 
-// DiscardInput reads and discards input until the other side ends or the read deadline has
-// passed. Unread input would turn the close into a reset, which might overtake the last
-// line that was written. Beyond fastDiscardBytes it reads slowly: a peer that has 60 MB to
-// send is given the time to read that line, and costs no more than that.
+// DiscardInput reads and discards input until the peer closes its sending side or the read deadline
+// passes. Closing the connection with unread input would reset it, and the reset might overtake the
+// last line that was written. Beyond fastDiscardBytes, DiscardInput reads slowly: a peer with 60 MB
+// to send then has time to read that line, at little cost to this process.
 func (c *Conn) DiscardInput() {
 	for discarded := 0; ; {
 		n, err := c.R.Discard(max(1, c.R.Buffered()))
@@ -210,14 +213,14 @@
 	}
 }
 
-// Release closes the connection and returns the buffers to the pool. Nothing may read or
-// write any more. A second call does nothing.
+// Release closes the connection and returns the buffers to the pool. The Conn must not be read or
+// written afterwards. Further calls do nothing.
 func (c *Conn) Release() {
 	_ = c.Close()
 	c.releaseBuffers()
 }
 
-// releaseBuffers returns the buffers to the pool.
+// releaseBuffers returns the buffers to the pool, unless it has done so before.
 func (c *Conn) releaseBuffers() {
 	if c.pooled == nil {
 		return
--- a/internal/bufconn/conn_test.go
+++ b/internal/bufconn/conn_test.go
@@ -9,9 +9,9 @@
 	"coralrelay/internal/testsocket"
 )
 
-// A connection that was detached has no deadline left, is idle until something comes, and may be used
-// again; with input left over it is closed.
-func TestDetachedConnectionIsIdleUntilSomethingComes(t *testing.T) {
+// A detached connection has no deadline, is idle until input arrives or the peer closes it, and can
+// be reused. Detach closes a connection that has unread input.
+func TestDetachedConnectionIsIdleUntilInputArrives(t *testing.T) {
 	for name, tt := range map[string]struct {
 		do   func(far net.Conn)
 		idle bool
@@ -26,19 +26,20 @@
 		near, far := testsocket.Pair(t)
 		conn := New(near)
 		fmt.Fprint(far, "answer\r\n")
-		if line, err := conn.ReadTextLineBefore(time.Now().Add(20 * time.Millisecond)); err != nil || string(line) != "answer" {
+		if line, err := conn.ReadTextLineBefore(time.Now().Add(20 * time.Millisecond)); err != nil ||
+			string(line) != "answer" {
 			t.Fatalf("%q, %v", line, err)
 		}
-		kept := conn.Detach()
-		time.Sleep(30 * time.Millisecond) // what is tested: the deadline of that read is over
+		detached := conn.Detach()
+		time.Sleep(30 * time.Millisecond) // the deadline of the read above passes
 		tt.do(far)
 		if !tt.idle {
-			for begun := time.Now(); IsIdle(kept); time.Sleep(time.Millisecond) {
-				if time.Since(begun) > 5*time.Second {
-					t.Fatalf("%s: idle", name)
+			for start := time.Now(); IsIdle(detached); time.Sleep(time.Millisecond) {
+				if time.Since(start) > 5*time.Second {
+					t.Fatalf("%s: still idle", name)
 				}
 			}
-		} else if !IsIdle(kept) {
+		} else if !IsIdle(detached) {
 			t.Errorf("%s: not idle", name)
 		}
 	}
@@ -48,18 +49,18 @@
 	if _, err := conn.ReadTextLineBefore(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if kept := conn.Detach(); kept != nil {
+	if detached := conn.Detach(); detached != nil {
 		t.Error("detached with input left over")
 	}
 }
 
-// The time since bytes have arrived counts from there, however late they are read.
+// The age of the last received bytes counts from their arrival, however late they are read.
 func TestSinceLastArrival(t *testing.T) {
 	near, far := testsocket.Pair(t)
 	fmt.Fprint(far, "OPEN\r\n")
-	time.Sleep(300 * time.Millisecond) // what is measured
+	time.Sleep(300 * time.Millisecond) // the interval to measure
 	if age := SinceLastArrival(near); age < 200*time.Millisecond || age > 5*time.Second {
-		t.Errorf("%v, want 300 ms", age)
+		t.Errorf("the last bytes arrived %v ago, want 300 ms", age)
 	}
 	pipe, _ := net.Pipe()
 	if age := SinceLastArrival(pipe); age != 0 {
--- a/internal/bufconn/descriptor.go
+++ b/internal/bufconn/descriptor.go
@@ -6,11 +6,11 @@
 	"syscall"
 )
 
-// ErrNoDescriptor is the error for a connection that is no socket, as a test's pipe.
-var ErrNoDescriptor = errors.New("the connection has no descriptor")
+// ErrNoDescriptor is returned for a connection that is not a socket, such as a net.Pipe in a test.
+var ErrNoDescriptor = errors.New("connection has no file descriptor")
 
-// WithDescriptor calls use with a connection's descriptor, which stays the connection's. The error is
-// that of use, or that of a connection that is closed or has no descriptor.
+// WithDescriptor calls use with the file descriptor of conn, which remains owned by conn. It
+// returns the error of use, or an error if conn is closed or has no descriptor.
 func WithDescriptor(conn net.Conn, use func(fd int) error) error {
 	withSyscalls, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/bufconn/idle.go
+++ b/internal/bufconn/idle.go
@@ -9,10 +9,11 @@
 	"coralrelay/internal/mutation"
 )
 
-// Detach returns the connection without its buffers, which go back to the pool, so that it may be
-// kept between two exchanges. No deadline is left on it: the one of the last exchange would pass
-// while the connection is idle. It returns nil, with the connection closed, if input is left over,
-// since that would be taken for the answer to the next request.
+// Detach returns the connection without its buffers, which go back to the pool, so that the
+// connection can be kept open between two exchanges. It clears the deadlines, as those of the last
+// exchange would pass while the connection is idle. If input is left in the buffer, Detach closes
+// the connection and returns nil, because that input would be taken for the answer to the next
+// request; it does the same if the deadlines cannot be cleared.
 func (c *Conn) Detach() net.Conn {
 	if c.R.Buffered() > 0 {
 		c.Release()
@@ -29,16 +30,17 @@
 	return conn
 }
 
-// IsIdle reports whether nothing has arrived on a connection that Detach has returned, so that the
-// next line answers the next request. An end of file means that the other side has closed it and
-// nobody would answer. A line is a second answer to the last request: taken for the next one's, all
-// later answers would be one behind.
+// IsIdle reports whether no input has arrived on a connection returned by Detach, so that the next
+// line is the answer to the next request. An end of file means that the peer has closed the
+// connection and will not answer. A line is a second answer to the previous request; if it were
+// taken for the answer to the next one, all later answers would be off by one.
 //
-// It does not block. What it reads is lost, so a connection that is not idle must be closed.
+// IsIdle does not block. It discards the input that it reads, so a connection that is not idle must
+// be closed.
 func IsIdle(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return true // a test's, without a descriptor
+		return true // only in tests: the connection has no descriptor
 	}
 	raw, err := syscallConn.SyscallConn()
 	if err != nil {
@@ -52,7 +54,7 @@
 	return err == nil && idle
 }
 
-// hasNoInput reports whether a read from a descriptor that does not block would have to wait.
+// hasNoInput reports whether a read from a non-blocking descriptor would have to wait.
 func hasNoInput(fd int) bool {
 	var buffer [1]byte
 	for {
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -31,7 +31,8 @@
 	for _, tt := range tests {
 		wrapped := tt.err
 		if tt.err != nil {
-			wrapped = fmt.Errorf("attempt: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", tt.err)})
+			wrapped = fmt.Errorf("attempt: %w",
+				&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", tt.err)})
 		}
 		for _, err := range []error{tt.err, wrapped} {
 			if got := IsExhausted(err); got != tt.exhausted {
