--- a/internal/lineproto/codec.go
+++ b/internal/lineproto/codec.go
@@ -8,12 +8,12 @@
 	"coralrelay/internal/proxy"
 )
 
-// Codec formats a session's final answers in the platform's protocol and classifies the
-// lines that are relayed.
+// Codec formats a session's final answers in the line protocol and classifies the lines that are
+// relayed.
 type Codec struct{}
 
-// Busy returns the answer to a rejected request, with the time after which the client is
-// asked to return, in whole milliseconds; below one there is none.
+// Busy returns the answer to a rejected request. It includes retryAfter, the time after which the
+// client is asked to retry, in whole milliseconds, if that is at least 1.
 func (Codec) Busy(retryAfter time.Duration) string {
 	if ms := retryAfter.Milliseconds(); ms > 0 {
 		return busyKeyword + " " + strconv.FormatInt(ms, 10)
@@ -21,13 +21,13 @@
 	return busyKeyword
 }
 
-// Failed returns the answer that promises nothing.
+// Failed returns the answer to a failed request, which promises nothing about it.
 func (Codec) Failed() string { return Error }
 
 // Move returns the line that asks the client to reconnect.
 func (Codec) Move() string { return Move }
 
-// Classify returns what an endpoint's line after UP says; it may end with its line end.
+// Classify returns the kind of an endpoint's line after UP. The line may include its line ending.
 func (Codec) Classify(line []byte) proxy.LineKind {
 	line = bytes.TrimRight(line, "\r\n")
 	switch {
--- a/internal/lineproto/doc.go
+++ b/internal/lineproto/doc.go
@@ -1,10 +1,10 @@
-// Package lineproto is the platform's line protocol and nothing else: connect requests,
-// final answers, load reports, and the lines of resumable streams. It decides nothing, does
-// no I/O and starts no goroutine. Its errors say which field of which line was malformed;
-// no caller tells them apart.
+// Package lineproto implements the platform's line protocol: connect requests, final answers, load
+// reports, and the lines of resumable streams. It only parses and formats: it makes no decisions,
+// does no I/O and starts no goroutines. Its errors name the malformed field; callers do not
+// distinguish between them.
 package lineproto
 
-// Keywords of the protocol.
+// The keywords of the protocol.
 const (
 	Ping  = "PING"
 	Pong  = "PONG"
--- a/internal/lineproto/reply.go
+++ b/internal/lineproto/reply.go
@@ -10,7 +10,7 @@
 // Reply is an endpoint's answer to a connect request.
 type Reply int
 
-// The replies. Anything else is Malformed.
+// The replies. Any other line is Malformed.
 const (
 	Malformed Reply = iota
 	Up
@@ -20,8 +20,8 @@
 	Moved
 )
 
-// ParseReply parses an endpoint's answer to a connect request and, where the line ends with
-// one, its load report; the report is empty where there is none or it is malformed.
+// ParseReply parses an endpoint's answer to a connect request and the load report at the end of the
+// line. The report is empty if it is missing or malformed.
 func ParseReply(text []byte) (Reply, balance.LoadReport) {
 	keyword, rest, _ := bytes.Cut(text, []byte(" "))
 	switch string(keyword) {
@@ -41,7 +41,7 @@
 	return Malformed, balance.EmptyLoadReport
 }
 
-// reportOrEmpty parses a load report that a malformed text leaves empty.
+// reportOrEmpty parses a load report and returns an empty one if the text is malformed.
 func reportOrEmpty(rest []byte) balance.LoadReport {
 	report, err := ParseLoadReport(rest)
 	if err != nil {
@@ -50,19 +50,19 @@
 	return report
 }
 
-// ParseStats parses the answer to STATS.
+// ParseStats parses an endpoint's answer to STATS.
 func ParseStats(text []byte) (balance.LoadReport, error) {
 	keyword, rest, _ := bytes.Cut(text, []byte(" "))
 	if string(keyword) != Pong {
-		return balance.EmptyLoadReport, fmt.Errorf("stats: %.40q is no %s", text, Pong)
+		return balance.EmptyLoadReport, fmt.Errorf("stats: answer %.40q is not a %s line", text, Pong)
 	}
 	return ParseLoadReport(rest)
 }
 
-// ParseLoadReport parses a load report. Its fields come under the names that the settings'
-// report.fields use at the site, or under the protocol's own; read under one spelling only,
-// a report would lose fields silently. Other names are ignored. An empty text is an empty
-// report; a value that is no number of 0 or more is an error.
+// ParseLoadReport parses a load report. It accepts each field under the name in the site's
+// report.fields setting and under the protocol's own name, as a parser of only one spelling would
+// silently lose fields. Unknown names are ignored. An empty text is an empty report; a value that
+// is not a number of 0 or more is an error.
 func ParseLoadReport(text []byte) (balance.LoadReport, error) {
 	report := balance.EmptyLoadReport
 	if len(text) == 0 {
@@ -71,11 +71,12 @@
 	for pair := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, ok := bytes.Cut(pair, []byte("="))
 		if !ok {
-			return balance.EmptyLoadReport, fmt.Errorf("load report: %.40q is no name and value", pair)
+			return balance.EmptyLoadReport, fmt.Errorf("load report: %.40q is not a name=value pair", pair)
 		}
 		load, err := parseNumber(string(value))
 		if err != nil || load < 0 {
-			return balance.EmptyLoadReport, fmt.Errorf("load report: %s: %.40q is no load", name, value)
+			return balance.EmptyLoadReport, fmt.Errorf("load report: %s: %.40q is not a number of 0 or more",
+				name, value)
 		}
 		switch string(name) {
 		case "inflight", "outstanding":
--- a/internal/lineproto/request_test.go
+++ b/internal/lineproto/request_test.go
@@ -12,13 +12,15 @@
 func TestParsesConnectRequest(t *testing.T) {
 	tests := []struct {
 		name, line string
-		want       ConnectRequest // without its head and tail; zero if the line is malformed
+		want       ConnectRequest // without beforeTimeout and afterTimeout; zero if the line is malformed
 	}{
 		{"all", "OPEN 9b k1 c=chat,d=2000,g=5c,r=1,again=1,at=s-1,h=0.25,new=x",
-			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Group: "5c", Endpoint: "s-1", Timeout: 2 * time.Second, LoadHint: 0.25,
-				Retry: true, Returned: true}},
-		{"least", "OPEN 9b k1 c=chat,d=1.5", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: 1500 * time.Microsecond}},
-		{"flags off", "OPEN 9b k1 r=0,again=0,c=chat,d=1", ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: time.Millisecond}},
+			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Group: "5c", Endpoint: "s-1",
+				Timeout: 2 * time.Second, LoadHint: 0.25, Retry: true, Returned: true}},
+		{"least", "OPEN 9b k1 c=chat,d=1.5",
+			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: 1500 * time.Microsecond}},
+		{"flags off", "OPEN 9b k1 r=0,again=0,c=chat,d=1",
+			ConnectRequest{ID: "9b", Key: "k1", Class: "chat", Timeout: time.Millisecond}},
 		{"empty", "", ConnectRequest{}},
 		{"other word", "GET / HTTP/1.1", ConnectRequest{}},
 		{"lower case", "open 9b k1 c=chat,d=1", ConnectRequest{}},
@@ -44,7 +46,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got, err := ParseConnectRequest([]byte(tt.line))
-			got.beforePatience, got.afterPatience = "", ""
+			got.beforeTimeout, got.afterTimeout = "", ""
 			if (err == nil) != (tt.want.ID != "") || err == nil && got != tt.want {
 				t.Errorf("got %+v, %v\nwant %+v", got, err, tt.want)
 			}
@@ -52,7 +54,8 @@
 	}
 }
 
-// The line goes on unchanged but for d: unknown names and their order stay.
+// The line is forwarded unchanged except for d: unknown fields and the order of the fields are
+// kept.
 func TestForwardsLineWithTimeLeft(t *testing.T) {
 	now := time.Now()
 	tests := []struct{ line, want string }{
@@ -61,22 +64,21 @@
 		{"OPEN 9b k1 c=chat,d=2000", "OPEN 9b k1 c=chat,d=1500"},
 	}
 	for _, tt := range tests {
-		o, err := ParseConnectRequest([]byte(tt.line))
+		request, err := ParseConnectRequest([]byte(tt.line))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := o.ForwardLine(now, now.Add(1500*time.Millisecond)); got != tt.want {
+		if got := request.ForwardLine(now, now.Add(1500*time.Millisecond)); got != tt.want {
 			t.Errorf("got %q, want %q", got, tt.want)
 		}
-		if got := o.ForwardLine(now, now.Add(-time.Second)); !strings.Contains(got, "d=0") {
-			t.Errorf("after its deadline: %q", got)
+		if got := request.ForwardLine(now, now.Add(-time.Second)); !strings.Contains(got, "d=0") {
+			t.Errorf("after the deadline: %q", got)
 		}
 	}
 }
 
-// Reports come under the settings' names at this site (seen on its sockets:
-// outstanding and recent_ms, not inflight and latency_ms) and under the
-// protocol's own in its examples.
+// Load reports have the names of the site's settings on its connections (outstanding and recent_ms,
+// not inflight and latency_ms), and the protocol's own names in the protocol's examples.
 func TestParsesStats(t *testing.T) {
 	full := balance.LoadReport{Utilization: 0.5, CPUUtilization: 0.25, Inflight: 7, LatencyMillis: 12}
 	tests := []struct {
@@ -84,9 +86,12 @@
 		want       balance.LoadReport
 		ok         bool
 	}{
-		{"the settings' names", "PONG outstanding=7,x0=0.5,recent_ms=12,backlog=2,utilization=0.25,throughput=40,errors_per_s=0.5,x1=1", full, true},
-		{"the protocol's names", "PONG inflight=7,x0=0.5,latency_ms=12,queue=2,util=0.25,qps=40,eps=0.5,x1=1", full, true},
-		{"names to come", "PONG mood=3", balance.EmptyLoadReport, true},
+		{"names of the settings",
+			"PONG outstanding=7,x0=0.5,recent_ms=12,backlog=2,utilization=0.25,throughput=40,errors_per_s=0.5,x1=1",
+			full, true},
+		{"names of the protocol",
+			"PONG inflight=7,x0=0.5,latency_ms=12,queue=2,util=0.25,qps=40,eps=0.5,x1=1", full, true},
+		{"unknown names", "PONG mood=3", balance.EmptyLoadReport, true},
 		{"no report", "PONG", balance.EmptyLoadReport, true},
 		{"error", "ERR", balance.EmptyLoadReport, false},
 		{"not allowed", "NO", balance.EmptyLoadReport, false},
@@ -120,7 +125,7 @@
 		}
 	}
 	if _, load := ParseReply([]byte("BUSY x0=0.5")); load.Utilization != 0.5 {
-		t.Errorf("report lost: %+v", load)
+		t.Errorf("load report after BUSY: %+v", load)
 	}
 }
 
@@ -141,10 +146,12 @@
 	}
 }
 
-func TestFormatsBusyWithPause(t *testing.T) {
-	for pause, want := range map[time.Duration]string{0: "BUSY", 250 * time.Millisecond: "BUSY 250", time.Microsecond: "BUSY"} {
-		if got := (Codec{}).Busy(pause); got != want {
-			t.Errorf("%v: got %q, want %q", pause, got, want)
+func TestFormatsBusyWithRetryAfter(t *testing.T) {
+	for retryAfter, want := range map[time.Duration]string{
+		0: "BUSY", 250 * time.Millisecond: "BUSY 250", time.Microsecond: "BUSY",
+	} {
+		if got := (Codec{}).Busy(retryAfter); got != want {
+			t.Errorf("%v: got %q, want %q", retryAfter, got, want)
 		}
 	}
 }
--- a/internal/lineproto/stream.go
+++ b/internal/lineproto/stream.go
@@ -10,23 +10,25 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// Lines of resumable streams, beyond the platform's protocol. A client that sends rs=1 or
-// rs=TOKEN asks for one; an endpoint that has them says so behind its receipt, and waits
-// for START:
+// Lines of resumable streams, an extension of the platform's protocol. A client requests such a
+// stream with rs=1 or rs=TOKEN. An endpoint that supports them appends rs=1 to its UP line and
+// waits for START:
 //
 //	UP RECEIPT rs=1             from the endpoint
-//	START                       to it: from the beginning
-//	START after=POS at=MS       the same, no older than POS; an endpoint that numbers
-//	                            otherwise goes by MS, Unix time in milliseconds
+//	START                       to the endpoint: start at the beginning
+//	START after=POS at=MS       to the endpoint: start at the beginning, with a state that
+//	                            is not older than POS; an endpoint that numbers positions
+//	                            differently uses MS, Unix time in milliseconds
 //	START resume=POS at=MS id=NONCE
-//	                            go on behind POS; NONCE is the spent token's
-//	RESUMED POS                 from it: what follows continues POS
-//	SNAPSHOT POS COUNT          the state at POS follows, in the next COUNT lines
-//	UPD OFFSET ...              a change, numbered in the epoch of POS
+//	                            to the endpoint: continue after POS; NONCE is that of the
+//	                            redeemed token
+//	RESUMED POS                 from the endpoint: what follows continues after POS
+//	SNAPSHOT POS COUNT          from the endpoint: the next COUNT lines are the state at POS
+//	UPD OFFSET ...              a change; OFFSET belongs to the epoch of POS
 //	POS POS                     nothing has changed up to POS
 //	MOVE TOKEN                  to the client
 const (
-	// ResumeWanted is the value of rs that asks for a resumable stream.
+	// ResumeWanted is the value of rs that requests a resumable stream without a token.
 	ResumeWanted = "1"
 
 	startKeyword   = "START"
@@ -36,36 +38,37 @@
 	positionPrefix = "POS "
 )
 
-// IsResumable reports whether an endpoint's UP line says that it has resumable streams.
+// IsResumable reports whether an endpoint's UP line says that it supports resumable streams.
 func IsResumable(up string) bool { return strings.HasSuffix(up, " rs="+ResumeWanted) }
 
-// FormatStreamStart returns the line that starts a stream. connectedAt is when its client
-// connected: it can't have seen anything later.
-func FormatStreamStart(o resumetoken.Outcome, connectedAt time.Time) string {
+// FormatStreamStart returns the line that starts a stream. connectedAt is when the client
+// connected: the client cannot have seen a later state.
+func FormatStreamStart(outcome resumetoken.Outcome, connectedAt time.Time) string {
 	at := " at=" + strconv.FormatInt(connectedAt.UnixMilli(), 10)
 	switch {
-	case o.CanResume:
-		return startKeyword + " resume=" + o.Position.String() + at + " id=" + hex.EncodeToString(o.Nonce[:])
-	case o.HasMinPosition:
-		return startKeyword + " after=" + o.Position.String() + at
+	case outcome.CanResume:
+		return startKeyword + " resume=" + outcome.Position.String() + at +
+			" id=" + hex.EncodeToString(outcome.Nonce[:])
+	case outcome.HasMinPosition:
+		return startKeyword + " after=" + outcome.Position.String() + at
 	}
 	return startKeyword
 }
 
-// StreamPosition follows the position in a stream as its lines pass. Its zero value has
-// none yet.
+// StreamPosition tracks the position in a stream from its lines. The zero value has no position
+// yet.
 type StreamPosition struct {
 	position          resumetoken.Position
 	known             bool
-	snapshotLinesLeft int // lines of a snapshot that are still to come
+	snapshotLinesLeft int // lines of the current snapshot that have not been observed yet
 	afterSnapshot     resumetoken.Position
 }
 
-// Position returns how far the lines observed so far go. There is none before the stream
-// says so, nor within a snapshot: half of one is nothing to go on from.
+// Position returns the position after the lines observed so far. There is none before the stream
+// announces one, nor within a snapshot, as a stream cannot be resumed from part of a snapshot.
 func (p *StreamPosition) Position() (resumetoken.Position, bool) { return p.position, p.known }
 
-// Observe takes one line of the endpoint's.
+// Observe updates the position with a line from the endpoint.
 func (p *StreamPosition) Observe(line []byte) {
 	if p.snapshotLinesLeft > 0 {
 		p.observeSnapshotLine()
@@ -96,7 +99,7 @@
 	}
 }
 
-// observeUpdate takes what follows UPD. A numbering that can't be followed is none.
+// observeUpdate handles the text after UPD. After an invalid offset the position is unknown.
 func (p *StreamPosition) observeUpdate(rest []byte) {
 	digits, _, _ := bytes.Cut(rest, []byte(" "))
 	offset, err := strconv.ParseUint(string(digits), 10, 64)
@@ -107,7 +110,7 @@
 	p.position.Offset = offset
 }
 
-// observeSnapshot takes what follows SNAPSHOT.
+// observeSnapshot handles the text after SNAPSHOT.
 func (p *StreamPosition) observeSnapshot(rest []byte) {
 	at, count, _ := bytes.Cut(rest, []byte(" "))
 	lines, err := strconv.Atoi(string(count))
