--- a/internal/downstream/adopt.go
+++ b/internal/downstream/adopt.go
@@ -7,8 +7,8 @@
 	"coralrelay/internal/proxy"
 )
 
-// Adopt goes on with a session that another process has handed over. If it returns false,
-// the connections stay the sender's.
+// Adopt continues a session that another process has handed over. If it returns false, the sender
+// still owns the connections.
 func (s *Server) Adopt(state proxy.EstablishedSession, client, upstream net.Conn) bool {
 	session := proxy.Inherit(state, lineproto.Codec{}, s.dispatcher, client, upstream)
 	session.Metrics = s.Metrics.Class(state.Class)
@@ -29,7 +29,7 @@
 	return true
 }
 
-// addAdopted adds an adopted session, unless the server is shutting down.
+// addAdopted registers an adopted session. It returns false if the server is shutting down.
 func (s *Server) addAdopted(client net.Conn, session *proxy.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// minLinger is how long a client that may still be sending its request lingers at least after its last
-	// byte, or its connect, also when others wait for its socket.
+	// minLinger is the minimum time that a client that may still be sending its request lingers
+	// after its last byte or its connect, even if other clients wait for its socket.
 	minLinger = 25 * time.Millisecond
-	// minAnswerLinger is how long it lingers at least after its answer: what it had under way when it got it
-	// arrives within that.
+	// minAnswerLinger is the minimum time that such a client lingers after its answer. What it was
+	// sending when it got the answer arrives within that time.
 	minAnswerLinger = 5 * time.Millisecond
 )
 
-// LingeringSockets returns how many sockets lingering clients may use beside the given
-// number of sockets of clients and upstreams.
+// LingeringSockets returns how many sockets lingering clients may use in addition to the given
+// number of sockets for clients and upstreams.
 func LingeringSockets(sockets int) int { return max(4, sockets/16) }
 
 // SetSocketLimit changes how many sockets clients and their upstreams may use.
@@ -28,8 +28,8 @@
 	s.limits.Sockets = sockets
 }
 
-// socketsUsed counts the sockets of clients and upstreams, without those of lingering
-// clients, in both processes where there are two. The lock is held.
+// socketsUsed returns the number of sockets of clients and upstreams in all processes, without
+// those of lingering clients. The caller must hold s.mu.
 func (s *Server) socketsUsed() int {
 	used := len(s.clients) - s.lingeringCount + len(s.sessions)
 	if s.limits.UsedElsewhere != nil {
@@ -38,11 +38,11 @@
 	return used
 }
 
-// awaitCapacity returns when there is capacity for one more client, even if it can only be
-// rejected. The client that has been idle for longest makes way for it; usual clients send
-// their first line at once.
+// awaitCapacity blocks until there is capacity for one more client, even if that client can only be
+// rejected. To make room, the client that has been idle for longest is evicted: ordinary clients
+// send their first line as soon as they are connected.
 func (s *Server) awaitCapacity() {
-	for wait := s.makeCapacity(); wait > 0; wait = s.makeCapacity() {
+	for wait := s.reclaimCapacity(); wait > 0; wait = s.reclaimCapacity() {
 		select {
 		case <-s.capacitySignal:
 		case <-time.After(wait):
@@ -50,10 +50,10 @@
 	}
 }
 
-// makeCapacity returns 0 if there is capacity for one more client. Else it evicts one, or
-// cuts a lingering one short, and returns when to look again. Half of the lingering
-// sockets are left to clients that admit rejects.
-func (s *Server) makeCapacity() time.Duration {
+// reclaimCapacity returns 0 if there is capacity for one more client. Otherwise it evicts an idle
+// client or interrupts a lingering one, and returns how long to wait before the next call. Half of
+// the lingering sockets are reserved for clients that admit rejects.
+func (s *Server) reclaimCapacity() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maxLingering := LingeringSockets(s.limits.Sockets) / 2
@@ -61,53 +61,56 @@
 	if mayEvict && s.socketsUsed() >= s.limits.Sockets {
 		s.evictLongestIdle(nil)
 	}
-	// Again, as one more may linger now.
+	// Check lingeringCount again, as the eviction may have increased it.
 	if s.lingeringCount < maxLingering && s.socketsUsed() < s.limits.Sockets {
 		return 0
 	}
 	if len(s.clients)-len(s.sessions) < maxLingering {
 		return 0
 	}
-	return s.cutLingering()
+	return s.interruptLongestLingering()
 }
 
-// startLinger has a client that was given its last answer linger, and says from when on it may be cut
-// short. A client whose request was read has nothing more to send, and may be at once.
+// startLinger sets the linger deadline of a client that was sent its last answer, and the time from
+// which its linger may be interrupted. The linger of a client whose request was read may be
+// interrupted at once, as that client has nothing more to send.
 func (s *Server) startLinger(client *pendingClient) {
-	shortest := time.Duration(0)
+	minimum := time.Duration(0)
 	if !client.requestRead {
-		shortest = max(minLinger-bufconn.SinceLastArrival(client.conn), minAnswerLinger)
+		minimum = max(minLinger-bufconn.SinceLastArrival(client.conn), minAnswerLinger)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	client.evictableAt = now.Add(shortest)
+	client.interruptibleAt = now.Add(minimum)
 	_ = client.conn.SetReadDeadline(now.Add(lingerTimeout))
 	s.signalCapacity()
 }
 
-// cutLingering ends the client that has lingered for longest of those that may be cut short. It returns
-// when to look again, if nothing signals before. The lock is held.
-func (s *Server) cutLingering() time.Duration {
-	now, lookAgainIn := time.Now(), minLinger
+// interruptLongestLingering interrupts the linger of the client that has lingered for longest among
+// those whose linger may be interrupted. It returns how long to wait before the next call if there
+// is no capacity signal. The caller must hold s.mu.
+func (s *Server) interruptLongestLingering() time.Duration {
+	now, retryIn := time.Now(), minLinger
 	for element := s.lingering.Front(); element != nil; element = element.Next() {
 		client := element.Value.(*pendingClient)
-		switch remaining := client.evictableAt.Sub(now); {
-		case client.evictableAt.IsZero(): // not answered yet
+		switch remaining := client.interruptibleAt.Sub(now); {
+		case client.interruptibleAt.IsZero(): // not answered yet
 		case remaining > 0:
-			lookAgainIn = min(lookAgainIn, remaining)
+			retryIn = min(retryIn, remaining)
 		default:
 			s.lingering.Remove(element)
-			_ = client.conn.SetReadDeadline(bufconn.PastDeadline) // what it still sends is not read any more
+			_ = client.conn.SetReadDeadline(bufconn.PastDeadline) // stops reading its input
 			return minLinger
 		}
 	}
-	return lookAgainIn
+	return retryIn
 }
 
-// admit says whether a session that client has opened may be served, and adds it then. While the
-// server drains, sessions are still admitted until rejectAt: clients are sent here until everybody knows
-// that it drains. Whoever waited here until its client had left is not served.
+// admit decides whether a session that client has opened may be served, and registers it if so.
+// While the server drains, sessions are still admitted until rejectAt, as clients are sent here
+// until the drain is known everywhere. A session is not served if its client has disconnected while
+// it waited.
 func (s *Server) admit(session *proxy.Session, client *pendingClient) lifecycle.Refusal {
 	if session.ClientHasLeft() {
 		return lifecycle.ClientHasLeft
@@ -128,11 +131,12 @@
 	}
 	s.idle.Remove(client.element)
 	s.sessions[session] = false
-	_ = client.conn.SetReadDeadline(time.Time{}) // it can't be evicted any more
+	_ = client.conn.SetReadDeadline(time.Time{}) // an admitted client is no longer evicted
 	return lifecycle.None
 }
 
-// canEvictOtherThan reports whether an idle client other than one can make way. The lock is held.
+// canEvictOtherThan reports whether an idle client other than client can be evicted. The caller
+// must hold s.mu.
 func (s *Server) canEvictOtherThan(client *pendingClient) bool {
 	others := s.idle.Len()
 	if !client.lingers {
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// drainInterval is how often a drain looks at the sessions.
+	// drainInterval is how often a drain checks the sessions.
 	drainInterval = 20 * time.Millisecond
-	// arrivalWindow is how long clients keep arriving after a drain has begun.
+	// arrivalWindow is how long new clients keep arriving after a drain has begun.
 	arrivalWindow = 600 * time.Millisecond
-	// finalAnswerTime is what clients take that are rejected at the end of a drain: an
-	// interval until it looks, a write and the lingering close.
+	// finalAnswerTime is how long it takes to reject clients at the end of a drain: one interval
+	// until the check, a write and the lingering close.
 	finalAnswerTime = lingerTimeout + 2*drainInterval
 )
 
-// DrainPlan says how the server is emptied. The established sessions are migrated evenly
-// between MoveStartAt and MoveEndAt, those that are established later at once.
+// DrainPlan is the schedule of a drain. The established sessions are migrated at an even rate
+// between MoveStartAt and MoveEndAt; sessions that are established later are migrated at once.
 type DrainPlan struct {
-	RejectAt    time.Time // newcomers are rejected from then on
+	RejectAt    time.Time // new requests are rejected from then on
 	MoveStartAt time.Time
 	MoveEndAt   time.Time
-	// EndAt is when the drain waits no longer. One lingering close before it, idle clients
-	// and unanswered sessions get their last answer, and established ones are migrated.
+	// EndAt is when the drain stops waiting. At finalAnswerTime before it, which leaves time for
+	// one lingering close, idle clients and unanswered sessions get their last answer, and
+	// established sessions are migrated.
 	EndAt time.Time
-	// Successor takes over the sessions that are established, now or later, in place of all
-	// migrations; nil if there is none.
+	// Successor takes over the sessions that are established, now or later, in place of migrations;
+	// nil if there is none.
 	Successor proxy.Successor
 }
 
-// StartDraining begins to empty the server for good: what arrives on clients' connections
-// after rejectAt is rejected. Drain has to follow.
+// StartDraining starts to drain the server permanently: requests that arrive after rejectAt are
+// rejected. Drain must be called afterwards.
 func (s *Server) StartDraining(rejectAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cancelLameDuck != nil { // what an operator began goes on by another plan
+	if s.cancelLameDuck != nil { // the permanent drain has its own plan
 		s.cancelLameDuck()
 		s.cancelLameDuck = nil
 	}
@@ -44,8 +45,8 @@
 	s.accepting, s.shuttingDown = false, true
 }
 
-// Drain empties the server for good. It returns when no client is left and none arrives
-// any more, or at the end of the plan.
+// Drain drains the server permanently. It returns when no clients are left and no more arrive, or
+// at the end of the plan.
 func (s *Server) Drain(plan DrainPlan) {
 	s.StartDraining(plan.RejectAt)
 	s.mu.Lock()
@@ -54,8 +55,8 @@
 	s.runDrain(context.Background(), plan)
 }
 
-// LameDuck empties the server until Rejoin. It returns at once, and changes nothing if the
-// server is draining already.
+// LameDuck drains the server until Rejoin. It returns immediately, and does nothing if the server
+// is already draining.
 func (s *Server) LameDuck(plan DrainPlan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +68,8 @@
 	s.wg.Go(func() { s.runDrain(ctx, plan) })
 }
 
-// Rejoin ends what LameDuck began: sessions that were not migrated before it returns stay.
+// Rejoin ends the drain that LameDuck started. Sessions that were not migrated before it returns
+// stay.
 func (s *Server) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,9 +79,10 @@
 	}
 }
 
-// runDrain migrates the sessions by the plan, until ctx ends or the plan does. With a ctx
-// that never ends, which is a shutdown, it returns once no client is left and none arrives
-// any more; else late sessions are migrated too.
+// runDrain migrates the sessions according to the plan until ctx is cancelled or the plan ends. A
+// ctx that is never cancelled means a shutdown: runDrain then returns as soon as no clients are
+// left and no more arrive. Otherwise it runs to the end of the plan, so that sessions established
+// late are migrated too.
 func (s *Server) runDrain(ctx context.Context, plan DrainPlan) {
 	startedAt := time.Now()
 	rejectRemainingAt := plan.EndAt.Add(-finalAnswerTime)
@@ -91,7 +94,7 @@
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	for now := startedAt; now.Before(plan.EndAt); {
-		established, idle, others := s.surveyClients()
+		established, idle, others := s.classifyClients()
 		if isShutdown {
 			onlyIdle := len(established)+others == 0 && now.Sub(startedAt) > arrivalWindow
 			if onlyIdle && idle == 0 {
@@ -116,14 +119,14 @@
 	}
 }
 
-// migrationPace spreads migrations evenly over a time.
+// migrationPace spreads migrations evenly over an interval.
 type migrationPace struct {
 	startAt, endAt time.Time
-	due            float64 // migrations that the pace allows by now and that were not made
+	due            float64 // migrations that are due by now but have not been made
 }
 
-// next returns how many of the established sessions are to be migrated at the time now. It
-// is called once each drainInterval.
+// next returns how many of the established sessions are to be migrated at the time now. It must be
+// called once per drainInterval.
 func (p *migrationPace) next(now time.Time, established int) int {
 	if now.Before(p.startAt) {
 		return 0
@@ -138,7 +141,7 @@
 	return count
 }
 
-// migrate migrates sessions, unless the drain was cancelled: under the lock, so that none is
+// migrate migrates sessions, unless the drain was cancelled. It holds s.mu, so that no session is
 // migrated after Rejoin has returned.
 func (s *Server) migrate(ctx context.Context, sessions []*proxy.Session) {
 	s.mu.Lock()
@@ -151,8 +154,8 @@
 	}
 }
 
-// rejectRemaining evicts all idle clients, as are those that arrive from now on, and gives
-// up the sessions that are not answered yet.
+// rejectRemaining evicts all idle clients and every client that connects from now on, and gives up
+// the sessions that have not been answered.
 func (s *Server) rejectRemaining() {
 	var submitted []*proxy.Session
 	s.mu.Lock()
@@ -161,7 +164,7 @@
 		s.evict(element.Value.(*pendingClient))
 	}
 	for session, isSubmitted := range s.sessions {
-		if isSubmitted { // else markSubmitted gives it up
+		if isSubmitted { // otherwise markSubmitted gives it up
 			submitted = append(submitted, session)
 		}
 	}
@@ -171,9 +174,9 @@
 	}
 }
 
-// surveyClients lists the established sessions that are not migrated, and counts the idle
-// clients and all others, lingering ones included.
-func (s *Server) surveyClients() (established []*proxy.Session, idle, others int) {
+// classifyClients returns the established sessions that are not being migrated, and counts the idle
+// clients and all others, including lingering ones.
+func (s *Server) classifyClients() (established []*proxy.Session, idle, others int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for session := range s.sessions {
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -13,41 +13,41 @@
 	"coralrelay/internal/bufconn"
 )
 
-// By the end of the plan every client has the answer that is due, and the end of the
-// connection without a reset: an idle one, one that lingers, one that waits for longer than
-// the plan lasts, and one with an established session. Once they were cut off.
+// By the end of the plan every client has got the right answer and the end of its connection
+// without a reset: an idle client, a lingering one, one that waits for longer than the plan lasts,
+// and one with an established session. They used to be cut off.
 func TestDrainAnswersEveryClient(t *testing.T) {
-	dispatcher := newParkingDispatcher()
+	dispatcher := newHoldingDispatcher()
 	s := New(dispatcher, nil, Limits{Sockets: 64})
 	listener, stop := serveAll(t, s)
 	idle := listener.connect(t, "")
 	halfLine := listener.connect(t, "OPEN h k c=fe")
 	waiting := listener.connect(t, "OPEN late k c=feed,d=40000\r\n")
-	sticky := listener.connect(t, "OPEN home k c=feed,d=40000,at=s1\r\n")
+	reattaching := listener.connect(t, "OPEN home k c=feed,d=40000,at=s1\r\n")
 	for range 2 {
 		<-dispatcher.submitted
 	}
 	established := listener.connect(t, "OPEN stands k c=feed,d=900\r\n")
 	upstreamNear, upstream := connPair(t)
 	if session := <-dispatcher.submitted; !session.Establish("UP r1", "s1", bufconn.New(upstreamNear)) {
-		t.Fatal("UP was not taken")
+		t.Fatal("the session did not accept UP")
 	}
 	if text, _ := bufio.NewReader(established).ReadString('\n'); text != "UP r1\r\n" {
 		t.Fatalf("%q", text)
 	}
 
-	begun := time.Now()
-	drained := startDrain(s, begun, DrainPlan{
-		RejectAt:    begun,
-		MoveStartAt: begun.Add(200 * time.Millisecond),
-		MoveEndAt:   begun.Add(500 * time.Millisecond),
-		EndAt:       begun.Add(900 * time.Millisecond),
+	start := time.Now()
+	drained := startDrain(s, start, DrainPlan{
+		RejectAt:    start,
+		MoveStartAt: start.Add(200 * time.Millisecond),
+		MoveEndAt:   start.Add(500 * time.Millisecond),
+		EndAt:       start.Add(900 * time.Millisecond),
 	})
 	for s.AcceptsClients() {
 		time.Sleep(time.Millisecond)
 	}
 	if text := readAll(t, listener.connect(t, "OPEN new k c=feed,d=900\r\n")); text != "BUSY\r\n" {
-		t.Errorf("a newcomer: %q", text)
+		t.Errorf("a new client: %q", text)
 	}
 	for _, client := range []struct {
 		name string
@@ -57,7 +57,7 @@
 		{"idle", idle, "BUSY\r\n"},
 		{"half a line", halfLine, "BUSY\r\n"},
 		{"waiting", waiting, "ERR\r\n"},
-		{"waiting for its server", sticky, "ERR\r\n"},
+		{"waiting for its server", reattaching, "ERR\r\n"},
 		{"established", established, "MOVE\r\n"},
 	} {
 		if text := readAll(t, client.far); text != client.want {
@@ -67,14 +67,15 @@
 	}
 	_ = upstream.Close()
 	if took := <-drained; took > 900*time.Millisecond+50*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the drain took %v", took)
 	}
 	stop()
 	expectDrainEvents(t, dispatcher)
 }
 
-// expectDrainEvents checks what the dispatcher of TestDrainAnswersEveryClient was notified of.
-func expectDrainEvents(t *testing.T, dispatcher *parkingDispatcher) {
+// expectDrainEvents checks the notifications that the dispatcher of TestDrainAnswersEveryClient
+// got.
+func expectDrainEvents(t *testing.T, dispatcher *holdingDispatcher) {
 	t.Helper()
 	events := map[string]bool{}
 	for len(dispatcher.events) > 0 {
@@ -82,26 +83,26 @@
 	}
 	for _, want := range []string{"gone late", "gone home", "ended stands"} {
 		if !events[want] {
-			t.Errorf("the dispatcher was not notified: %s (%v)", want, events)
+			t.Errorf("the dispatcher was not notified of %s, only of %v", want, events)
 		}
 	}
 	if events["submitted new"] || events["submitted h"] {
-		t.Errorf("what was read after the drain began was submitted: %v", events)
+		t.Errorf("a request read after the drain began was submitted: %v", events)
 	}
 }
 
-// startDrain runs a drain. The returned channel receives the time from begun to its end.
-func startDrain(s *Server, begun time.Time, plan DrainPlan) <-chan time.Duration {
+// startDrain runs a drain. The returned channel receives the time from start to its end.
+func startDrain(s *Server, start time.Time, plan DrainPlan) <-chan time.Duration {
 	drained := make(chan time.Duration, 1)
 	go func() {
 		s.Drain(plan)
-		drained <- time.Since(begun)
+		drained <- time.Since(start)
 	}()
 	return drained
 }
 
-// The drain waits for lingering clients, and Close for the one that was accepted last:
-// neither is cut while it still sends.
+// Drain waits for lingering clients, and Close for the client that was accepted last: neither is
+// cut off while it still sends.
 func TestDrainWaitsForLingeringClients(t *testing.T) {
 	for name, withSession := range map[string]bool{"alone": false, "with an established session": true} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +112,7 @@
 }
 
 func testDrainWaitsForLingeringClients(t *testing.T, withSession bool) {
-	dispatcher := newParkingDispatcher()
+	dispatcher := newHoldingDispatcher()
 	s := New(dispatcher, nil, Limits{Sockets: 64})
 	listener := make(fakeListener)
 	stopServing := serve(t, s, listener)
@@ -121,31 +122,32 @@
 	}
 	time.Sleep(time.Second)
 	idle := listener.connectPipe("")
-	begun := time.Now()
-	drained := startDrain(s, begun, DrainPlan{
-		RejectAt:    begun,
-		MoveStartAt: begun.Add(time.Second),
-		MoveEndAt:   begun.Add(2 * time.Second),
-		EndAt:       begun.Add(2400 * time.Millisecond),
+	start := time.Now()
+	drained := startDrain(s, start, DrainPlan{
+		RejectAt:    start,
+		MoveStartAt: start.Add(time.Second),
+		MoveEndAt:   start.Add(2 * time.Second),
+		EndAt:       start.Add(2400 * time.Millisecond),
 	})
 	if withSession {
 		go endSession()
 	}
 	text, err := bufio.NewReader(idle).ReadString('\n')
-	answeredAfter := time.Since(begun)
+	answeredAfter := time.Since(start)
 	if text != "BUSY\r\n" || answeredAfter > 2*time.Second {
 		t.Errorf("%q, %v after %v", text, err, answeredAfter)
 	}
-	// Alone it is answered when nobody arrives any more, else by its own time.
+	// Without a session the client is answered when no more clients arrive, otherwise when its
+	// first-line timeout has passed.
 	if !withSession && (answeredAfter < arrivalWindow || answeredAfter > arrivalWindow+2*drainInterval) {
 		t.Errorf("answered after %v, want about %v", answeredAfter, arrivalWindow)
 	}
 	if sent := writeUntilClosed(idle); sent < lingerTimeout {
-		t.Errorf("it was cut off %v after its answer", sent)
+		t.Errorf("the idle client was cut off %v after its answer", sent)
 	}
 	idle.Close()
 	if took := <-drained; took > 2400*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the drain took %v", took)
 	}
 	near, last := net.Pipe()
 	listener <- near // before the listener closes
@@ -162,9 +164,9 @@
 	<-closed
 }
 
-// establishOnPipes establishes a session. The returned function ends it when its client is
-// migrated.
-func establishOnPipes(dispatcher *parkingDispatcher, listener fakeListener) (end func()) {
+// establishOnPipes establishes a session. The returned function waits until its client is migrated,
+// and closes both connections.
+func establishOnPipes(dispatcher *holdingDispatcher, listener fakeListener) (end func()) {
 	far := listener.connectPipe("OPEN stands k c=feed,d=900\r\n")
 	near, upstream := net.Pipe()
 	(<-dispatcher.submitted).Establish("UP r1", "s1", bufconn.New(near))
@@ -177,22 +179,23 @@
 	}
 }
 
-// writeUntilClosed sends requests until the other side ends, and returns how long that took.
+// writeUntilClosed sends requests until the peer closes the connection, and returns how long that
+// took.
 func writeUntilClosed(conn net.Conn) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	for {
 		if _, err := fmt.Fprint(conn, "OPEN late k c=feed,d=900\r\n"); err != nil {
-			return time.Since(begun)
+			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A session is given up between its admission and its submission: it has one answer, and the
-// dispatcher, which has it by then, is notified that it is over. Notified before, it would
-// have placed the session.
-func TestGivesUpASessionBeingSubmitted(t *testing.T) {
-	dispatcher := newParkingDispatcher()
+// A session that is given up between its admission and its submission gets one answer, and the
+// dispatcher, which has the session by then, is notified that it has ended. If it were notified
+// before, it would place the session.
+func TestGiveUpDuringSubmit(t *testing.T) {
+	dispatcher := newHoldingDispatcher()
 	dispatcher.release = make(chan struct{})
 	s := New(dispatcher, nil, Limits{Sockets: 64})
 	listener, stop := serveAll(t, s)
@@ -201,15 +204,15 @@
 	now := time.Now()
 	end := now.Add(finalAnswerTime + 100*time.Millisecond)
 	drained := startDrain(s, now, DrainPlan{RejectAt: now, MoveStartAt: now, MoveEndAt: now, EndAt: end})
-	for { // until newcomers are rejected unread
-		newcomer := listener.connect(t, "")
-		if err := newcomer.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+	for { // until new clients are rejected before their first line is read
+		newClient := listener.connect(t, "")
+		if err := newClient.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		if text, _ := bufio.NewReader(newcomer).ReadString('\n'); strings.HasPrefix(text, "BUSY") {
+		if text, _ := bufio.NewReader(newClient).ReadString('\n'); strings.HasPrefix(text, "BUSY") {
 			break
 		}
-		newcomer.Close()
+		newClient.Close()
 	}
 	close(dispatcher.release)
 	if text := readAll(t, client); text != "ERR\r\n" {
@@ -218,7 +221,8 @@
 	client.Close()
 	<-drained
 	stop()
-	if first, second := <-dispatcher.events, <-dispatcher.events; first != "submitted a" || second != "gone a" {
-		t.Errorf("notified %q, then %q", first, second)
+	if first, second := <-dispatcher.events, <-dispatcher.events; first != "submitted a" ||
+		second != "gone a" {
+		t.Errorf("the dispatcher was notified of %q, then %q", first, second)
 	}
 }
--- a/internal/downstream/firstline.go
+++ b/internal/downstream/firstline.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// firstLineTimeout is how long a client may take from its connect to the end of its
-	// first line, whatever it sends meanwhile: it is owed an answer within 3 s.
+	// firstLineTimeout is how long a client may take from its connect to the end of its first line,
+	// whatever it sends meanwhile: each client must be answered within 3 s.
 	firstLineTimeout = 2 * time.Second
-	// maxPings is how many PINGs are answered on one connection: a load balancer in front
-	// sends one or two, and an answer costs more than a question.
+	// maxPings is how many PINGs are answered on one connection. A load balancer in front sends one
+	// or two, and an answer costs more than a PING.
 	maxPings = 16
-	// deadlineMargin is kept back from a client's deadline: its clock started when it sent
+	// deadlineMargin is subtracted from a client's timeout: the client's clock started when it sent
 	// the line, and the answer still has to reach it.
 	deadlineMargin = 25 * time.Millisecond
-	// maxRequestTimeout bounds the timeout that a client may ask for: a session that its
-	// upstream still holds is lost after 40 s, and usual ones are given up far sooner.
+	// maxRequestTimeout is the upper bound of the timeout that a client may request. A session that
+	// its upstream still holds is lost after 40 s, and ordinary requests fail far sooner.
 	maxRequestTimeout = 40 * time.Second
-	// answerWriteTimeout is how long writing a last answer may block.
+	// answerWriteTimeout is how long the write of a last answer may block.
 	answerWriteTimeout = time.Second
-	// lingerTimeout is how long a client may take to close after its last answer.
+	// lingerTimeout is how long a client may take to close its connection after its last answer.
 	lingerTimeout = 250 * time.Millisecond
 )
 
-// serveClient reads lines until one opens a session, or until the client's deadline. It
-// returns when the connection is closed.
+// serveClient reads lines until one opens a session or the client's deadline passes. It returns
+// when the connection is closed.
 func (s *Server) serveClient(client *pendingClient) {
 	defer s.removeClient(client)
 	conn := bufconn.New(client.conn)
@@ -65,32 +65,32 @@
 	}
 }
 
-// endWithoutRequest ends a connection on which no first line came, as reading it has failed
-// with err.
+// endWithoutRequest ends a connection on which reading the first line has failed with err.
 func (s *Server) endWithoutRequest(client *pendingClient, conn *bufconn.Conn, err error) {
 	silent := conn.R.Buffered() == 0
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
-	// A read that timed out before the client's deadline was interrupted by evict, which is
-	// not the client's fault.
+	// A read that timed out before the client's deadline was interrupted by evict, which is not an
+	// error of the client.
 	evicted := timedOut && time.Now().Before(client.deadline)
 	switch {
 	case timedOut && silent, evicted:
 		client.requestRead = endsRequest(bufconn.DiscardAvailable(client.conn))
 		audit.Count(audit.CloseNoFirstLine)
 		_ = s.lingeringClose(client, conn, s.busyLine())
-	case silent: // the client has left
+	case silent: // the client has disconnected
 		conn.Release()
 	default:
 		s.rejectFirstLine(client, conn, err)
 	}
 }
 
-// endsRequest reports whether the last bytes that a client has sent end its request, so that nothing follows.
+// endsRequest reports whether last, the bytes that a client sent last, end its request, so that no
+// more input follows.
 func endsRequest(last []byte) bool {
 	return bytes.HasSuffix(last, []byte("\n")) && !bytes.HasPrefix(last, []byte(lineproto.Ping))
 }
 
-// runSession serves a request to its end.
+// runSession serves a request until its session ends.
 func (s *Server) runSession(client *pendingClient, conn *bufconn.Conn, request lineproto.ConnectRequest) {
 	session := s.newSession(conn, &request)
 	if refusal := s.admit(session, client); refusal != lifecycle.None {
@@ -111,8 +111,9 @@
 	s.mu.Unlock()
 }
 
-// newSession returns the session of a request that was read from conn. Its time counts from its arrival
-// at this machine: the connection may have waited for capacity, or the process may have been held up.
+// newSession returns the session of a request that was read from conn. Its timeout counts from the
+// arrival of the request at this machine: the connection may have waited for capacity, or this
+// process may have been paused.
 func (s *Server) newSession(conn *bufconn.Conn, request *lineproto.ConnectRequest) *proxy.Session {
 	timeout := min(request.Timeout, maxRequestTimeout) - deadlineMargin - bufconn.SinceLastArrival(conn.Conn)
 	placement := proxy.Request{
@@ -132,7 +133,8 @@
 	return session
 }
 
-// markSubmitted notes that the dispatcher has the session, which may be given up from now on.
+// markSubmitted records that the dispatcher has the session, which may be given up from now on. If
+// rejectRemaining was called before, markSubmitted gives the session up.
 func (s *Server) markSubmitted(session *proxy.Session) {
 	s.mu.Lock()
 	s.sessions[session] = true
@@ -143,7 +145,7 @@
 	}
 }
 
-// rejectFirstLine answers a first line that can't be parsed, and ends the connection.
+// rejectFirstLine answers a first line that cannot be parsed, and closes the connection.
 func (s *Server) rejectFirstLine(client *pendingClient, conn *bufconn.Conn, err error) {
 	audit.Count(audit.CloseBadFirstLine)
 	s.rejectedLineLog.Warn("first line rejected",
@@ -151,9 +153,9 @@
 	_ = s.lingeringClose(client, conn, lineproto.Error)
 }
 
-// lingeringClose gives a last answer and closes the connection without a reset: a request
-// may arrive at that very moment, and the reset of a plain close would overtake the answer.
-// It returns the error of the write.
+// lingeringClose sends a last answer and closes the connection without a reset. A request may
+// arrive at the same moment, and the reset of a plain close would overtake the answer. It returns
+// the error of the write.
 func (s *Server) lingeringClose(client *pendingClient, conn *bufconn.Conn, answer string) error {
 	s.mu.Lock()
 	s.evict(client)
@@ -165,7 +167,7 @@
 	return err
 }
 
-// busyLine is the answer to a client that is rejected before its request was read.
+// busyLine returns the answer to a client that is rejected before its request is read.
 func (s *Server) busyLine() string {
 	return lineproto.Codec{}.Busy(time.Duration(s.retryAfter.Load()))
 }
--- a/internal/downstream/firstline_test.go
+++ b/internal/downstream/firstline_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// A first line may arrive in any pieces, and its client may leave after any of them: the
-// complete line is taken, half of one never is, and nothing is left behind, as the bubble
-// would not end then.
+// A first line may arrive in any pieces, and its client may disconnect after any of them: the
+// complete line is accepted, a partial one never is, and no goroutine is left, as the synctest
+// bubble would not end otherwise.
 func TestFirstLineInPieces(t *testing.T) {
 	const text = "OPEN a k c=feed,d=900\r\n"
 	for cut := range len(text) {
-		for _, leaves := range []bool{false, true} {
+		for _, disconnects := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				dispatcher := make(rejectingDispatcher, 1)
 				listener, stop := serveAll(t, New(dispatcher, nil, Limits{Sockets: 16}))
@@ -25,9 +25,9 @@
 					if piece != "" {
 						fmt.Fprint(far, piece)
 					}
-					time.Sleep(500 * time.Millisecond) // of the bubble's time
+					time.Sleep(500 * time.Millisecond) // in the bubble's fake time
 				}
-				if !leaves {
+				if !disconnects {
 					fmt.Fprint(far, text[cut:])
 					answer, _ := bufio.NewReader(far).ReadString('\n')
 					if answer != "BUSY\r\n" || len(dispatcher) != 1 {
@@ -36,8 +36,8 @@
 				}
 				far.Close()
 				synctest.Wait()
-				if leaves && len(dispatcher) > 0 {
-					t.Errorf("cut at %d: half a line was taken", cut)
+				if disconnects && len(dispatcher) > 0 {
+					t.Errorf("cut at %d: a partial line was accepted", cut)
 				}
 				stop()
 			})
@@ -45,20 +45,22 @@
 	}
 }
 
-// Whatever timeout a client asks for, it holds its sockets no longer than the protocol has
-// a use for.
+// Whatever timeout a client requests, it does not hold its sockets for longer than the protocol
+// needs.
 func TestRequestTimeoutIsBounded(t *testing.T) {
 	listener := listen(t)
 	dispatcher := make(rejectingDispatcher, 1)
 	s := New(dispatcher, nil, Limits{Sockets: 16})
 	stopServing := serve(t, s, listener)
-	for asked, want := range map[string]time.Duration{"1800": 1800 * time.Millisecond, "4294967": maxRequestTimeout} {
+	for requested, want := range map[string]time.Duration{
+		"1800": 1800 * time.Millisecond, "4294967": maxRequestTimeout,
+	} {
 		conn := dial(t, listener)
-		begun := time.Now()
-		fmt.Fprintf(conn, "OPEN a k1 c=feed,d=%s\r\n", asked)
-		got := (<-dispatcher).Deadline.Sub(begun)
+		start := time.Now()
+		fmt.Fprintf(conn, "OPEN a k1 c=feed,d=%s\r\n", requested)
+		got := (<-dispatcher).Deadline.Sub(start)
 		if got > want+time.Second || got < want-time.Second {
-			t.Errorf("d=%s: the timeout is %v, want about %v", asked, got, want)
+			t.Errorf("d=%s: the timeout is %v, want about %v", requested, got, want)
 		}
 		conn.Close()
 	}
--- a/internal/downstream/fixture_test.go
+++ b/internal/downstream/fixture_test.go
@@ -13,9 +13,9 @@
 	"coralrelay/internal/testsocket"
 )
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+const testTimeout = 10 * time.Second // reached only by a test that fails
 
-// rejectingDispatcher keeps the sessions that are submitted, and rejects them.
+// rejectingDispatcher keeps the submitted sessions and rejects them.
 type rejectingDispatcher chan *proxy.Session
 
 func (d rejectingDispatcher) Submit(item dispatch.Placement, _ dispatch.AttemptStarter) {
@@ -27,37 +27,37 @@
 func (rejectingDispatcher) ClientGone(dispatch.Placement)                      {}
 func (rejectingDispatcher) PlacementEnded(dispatch.Placement, balance.Outcome) {}
 
-// parkingDispatcher keeps the sessions that are submitted and answers none. It records what
-// it is notified of, in order.
-type parkingDispatcher struct {
+// holdingDispatcher keeps the submitted sessions and answers none. It records its notifications in
+// order.
+type holdingDispatcher struct {
 	submitted chan *proxy.Session
 	events    chan string
-	release   chan struct{} // Submit waits for it; nil for nothing
+	release   chan struct{} // Submit waits until it is closed; nil for no wait
 }
 
-func newParkingDispatcher() *parkingDispatcher {
-	return &parkingDispatcher{submitted: make(chan *proxy.Session, 64), events: make(chan string, 64)}
+func newHoldingDispatcher() *holdingDispatcher {
+	return &holdingDispatcher{submitted: make(chan *proxy.Session, 64), events: make(chan string, 64)}
 }
 
-func (p *parkingDispatcher) Submit(item dispatch.Placement, _ dispatch.AttemptStarter) {
-	p.submitted <- item.(*proxy.Session)
-	if p.release != nil {
-		<-p.release
+func (h *holdingDispatcher) Submit(item dispatch.Placement, _ dispatch.AttemptStarter) {
+	h.submitted <- item.(*proxy.Session)
+	if h.release != nil {
+		<-h.release
 	}
-	p.events <- "submitted " + item.PlacementRequest().ID
+	h.events <- "submitted " + item.PlacementRequest().ID
 }
 
-func (p *parkingDispatcher) Adopt(dispatch.Placement, string) bool { return true }
+func (h *holdingDispatcher) Adopt(dispatch.Placement, string) bool { return true }
 
-func (p *parkingDispatcher) ClientGone(item dispatch.Placement) {
-	p.events <- "gone " + item.PlacementRequest().ID
+func (h *holdingDispatcher) ClientGone(item dispatch.Placement) {
+	h.events <- "gone " + item.PlacementRequest().ID
 }
 
-func (p *parkingDispatcher) PlacementEnded(item dispatch.Placement, _ balance.Outcome) {
-	p.events <- "ended " + item.PlacementRequest().ID
+func (h *holdingDispatcher) PlacementEnded(item dispatch.Placement, _ balance.Outcome) {
+	h.events <- "ended " + item.PlacementRequest().ID
 }
 
-// fakeListener accepts the connections that are put into it.
+// fakeListener accepts the connections that are sent to it.
 type fakeListener chan net.Conn
 
 func (l fakeListener) Accept() (net.Conn, error) {
@@ -69,8 +69,8 @@
 func (l fakeListener) Close() error { close(l); return nil }
 func (fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connect accepts a new connection on real sockets, writes text from its far end and returns
-// that.
+// connect has the server accept a new connection on real sockets, writes text from the far end and
+// returns that end.
 func (l fakeListener) connect(t *testing.T, text string) net.Conn {
 	t.Helper()
 	near, far := connPair(t)
@@ -79,7 +79,7 @@
 	return far
 }
 
-// connectPipe does the same on a pipe, for tests in a synctest bubble.
+// connectPipe is connect on a pipe, for tests in a synctest bubble.
 func (l fakeListener) connectPipe(text string) net.Conn {
 	near, far := net.Pipe()
 	l <- near
@@ -87,7 +87,7 @@
 	return far
 }
 
-// serve runs a server. The returned function closes the listener and waits for Serve.
+// serve starts Serve. The returned function closes the listener and waits for Serve to return.
 func serve(t *testing.T, s *Server, l net.Listener) (stopServing func()) {
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
@@ -100,7 +100,8 @@
 	}
 }
 
-// serveAll runs a server on a fakeListener. The returned function ends both.
+// serveAll starts Serve on a fakeListener. The returned function closes the listener and the
+// server.
 func serveAll(t *testing.T, s *Server) (listener fakeListener, stop func()) {
 	listener = make(fakeListener)
 	stopServing := serve(t, s, listener)
@@ -141,7 +142,7 @@
 	return near, far
 }
 
-// readAll returns what is read until the end, which must not be a reset.
+// readAll returns what is read until the end of the connection, which must not be a reset.
 func readAll(t *testing.T, far net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(far)
--- a/internal/downstream/lingering_test.go
+++ b/internal/downstream/lingering_test.go
@@ -13,9 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// crossingConn is a connection on which a request arrives at the moment at which the last
-// answer has been written and the server has not gone on: it is in the socket when the write
-// returns.
+// crossingConn is a connection on which a request arrives right after the last answer was written:
+// the request is in the socket when the write returns, before the server continues.
 type crossingConn struct {
 	*net.TCPConn
 	far  net.Conn
@@ -28,7 +27,7 @@
 		c.once.Do(func() {
 			before := c.unread()
 			fmt.Fprint(c.far, "OPEN late k c=feed,d=900\r\n")
-			for begun := time.Now(); c.unread() == before && time.Since(begun) < time.Second; {
+			for start := time.Now(); c.unread() == before && time.Since(start) < time.Second; {
 				time.Sleep(time.Millisecond)
 			}
 		})
@@ -36,7 +35,7 @@
 	return n, err
 }
 
-// unread returns how many bytes are in the socket.
+// unread returns the number of unread bytes in the socket.
 func (c *crossingConn) unread() (n int) {
 	raw, err := c.SyscallConn()
 	if err == nil {
@@ -45,10 +44,10 @@
 	return n
 }
 
-// The last answer reaches a client whose request crosses it, whatever it is and why it is
-// sent: once a plain close over that request was a reset, which took the answer with it. It
-// is the only answer, and the request is not submitted.
-func TestLastAnswerSurvivesACrossingRequest(t *testing.T) {
+// The last answer reaches a client whose request crosses it, whichever answer it is and whatever
+// the reason for it. A plain close with that request unread used to reset the connection, which
+// discarded the answer. It is the only answer, and the request is not submitted.
+func TestLastAnswerReachesClientWhoseRequestCrossesIt(t *testing.T) {
 	evictForOthers := func(t *testing.T, _ *Server, listener fakeListener) {
 		for range 4 {
 			listener.connect(t, "")
@@ -56,7 +55,9 @@
 	}
 	drain := func(_ *testing.T, s *Server, _ fakeListener) {
 		now := time.Now()
-		s.Drain(DrainPlan{RejectAt: now, MoveStartAt: now, MoveEndAt: now.Add(time.Second), EndAt: now.Add(time.Second)})
+		s.Drain(DrainPlan{
+			RejectAt: now, MoveStartAt: now, MoveEndAt: now.Add(time.Second), EndAt: now.Add(time.Second),
+		})
 	}
 	const halfLine, tooManyPings = "OPEN a k c=fe", maxPings + 1
 	tests := []struct {
@@ -66,13 +67,15 @@
 	}{
 		{name: "idle", want: "BUSY 500"},
 		{name: "idle after PINGs", clientWrites: "PING\r\nPING\r\n", pongs: 2, want: "BUSY 500"},
-		{name: "too many PINGs", clientWrites: strings.Repeat("PING\r\n", tooManyPings), pongs: maxPings, want: "ERR"},
+		{name: "too many PINGs", clientWrites: strings.Repeat("PING\r\n", tooManyPings), pongs: maxPings,
+			want: "ERR"},
 		{name: "half a line", clientWrites: halfLine, want: "ERR"},
 		{name: "no request", clientWrites: "HELLO\r\n", want: "ERR"},
 		{name: "idle, evicted", meanwhile: evictForOthers, want: "BUSY 500"},
 		{name: "half a line, evicted", clientWrites: halfLine, meanwhile: evictForOthers, want: "BUSY 500"},
 		{name: "idle during a drain", meanwhile: drain, want: "BUSY 500"},
-		{name: "idle after a PING during a drain", clientWrites: "PING\r\n", pongs: 1, meanwhile: drain, want: "BUSY 500"},
+		{name: "idle after a PING during a drain", clientWrites: "PING\r\n", pongs: 1, meanwhile: drain,
+			want: "BUSY 500"},
 		{name: "half a line during a drain", clientWrites: halfLine, meanwhile: drain, want: "BUSY 500"},
 	}
 	for _, tt := range tests {
--- a/internal/downstream/pendingclient.go
+++ b/internal/downstream/pendingclient.go
@@ -8,33 +8,34 @@
 	"coralrelay/internal/bufconn"
 )
 
-// pendingClient is a client's connection that has no session. It is idle until its first
-// line arrives, or it lingers: it gets its last answer, and its input is discarded.
+// pendingClient is a client's connection that has no session. It is idle until its first line
+// arrives or it is evicted. A client that lingers gets its last answer, and its input is discarded.
 type pendingClient struct {
-	conn        net.Conn
-	deadline    time.Time     // for its first line
-	element     *list.Element // of Server.idle, then of Server.lingering
-	lingers     bool          // it gets its last answer, or has got it
-	requestRead bool          // its first line was read to its end; set by its goroutine before it lingers
-	evictableAt time.Time     // it may be closed from then on if others wait; zero until it was answered
+	conn            net.Conn
+	deadline        time.Time     // deadline for its first line
+	element         *list.Element // in Server.idle, then in Server.lingering
+	lingers         bool          // it is to be sent its last answer, or was sent it
+	requestRead     bool          // its first line was read; set by its goroutine before it lingers
+	interruptibleAt time.Time     // when other clients may interrupt its linger; zero until it is answered
 }
 
-// addClient adds a connection that was accepted. It is idle until the deadline at the latest.
+// addClient registers an accepted connection. The client may be idle until the deadline at the
+// latest.
 func (s *Server) addClient(conn net.Conn, deadline time.Time) *pendingClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	client := &pendingClient{conn: conn, deadline: deadline}
 	s.clients[conn] = struct{}{}
 	client.element = s.idle.PushBack(client)
-	_ = conn.SetReadDeadline(deadline) // changed only by admit, and to end the wait
+	_ = conn.SetReadDeadline(deadline) // changed only by admit, and to interrupt the read
 	if s.rejectUnread {
 		s.evict(client)
 	}
 	return client
 }
 
-// evictLongestIdle evicts the client that has been idle for longest, other than except. It
-// reports whether there was one. The lock is held.
+// evictLongestIdle evicts the client that has been idle for longest, other than except. It reports
+// whether there was one. The caller must hold s.mu.
 func (s *Server) evictLongestIdle(except *pendingClient) bool {
 	for element := s.idle.Front(); element != nil; element = element.Next() {
 		if client := element.Value.(*pendingClient); client != except {
@@ -45,8 +46,8 @@
 	return false
 }
 
-// evict makes an idle client linger: its read is interrupted, upon which serveClient gives
-// it its last answer. A second call changes nothing. The lock is held.
+// evict makes an idle client linger: it interrupts the read of serveClient, which then sends the
+// last answer. A second call does nothing. The caller must hold s.mu.
 func (s *Server) evict(client *pendingClient) {
 	if client.lingers {
 		return
@@ -58,7 +59,7 @@
 	_ = client.conn.SetReadDeadline(bufconn.PastDeadline)
 }
 
-// removeClient removes a connection, with or without a session, that is closed.
+// removeClient unregisters a closed connection, with or without a session.
 func (s *Server) removeClient(client *pendingClient) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
