--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/answer_test.go
@@ -1,6 +1,6 @@
 package proxy_test
 
-// The one final answer, and clients that leave before it.
+// Tests of the one final answer, and of clients that disconnect before it.
 
 import (
 	"strings"
@@ -8,59 +8,60 @@
 	"time"
 )
 
-// There is one final answer, whoever is first.
+// A session has one final answer, the first that is given.
 func TestFirstFinalAnswerWins(t *testing.T) {
-	b := startSession(t)
-	if !b.session.Reject(250*time.Millisecond) || b.session.Fail() || b.session.Establish("UP r1", "s1", b.upstreamConn) {
-		t.Error("not exactly the first answer was taken")
+	f := startSession(t)
+	if !f.session.Reject(250*time.Millisecond) || f.session.Fail() ||
+		f.session.Establish("UP r1", "s1", f.upstreamConn) {
+		t.Error("the session did not accept exactly the first answer")
 	}
-	b.expectLine(t, b.clientReader, "BUSY 250\r\n")
-	b.expectLine(t, b.clientReader, "")
-	if b.session.Context().Err() == nil {
-		t.Error("an attempt would go on after the answer")
+	f.expectLine(t, f.clientReader, "BUSY 250\r\n")
+	f.expectLine(t, f.clientReader, "")
+	if f.session.Context().Err() == nil {
+		t.Error("the context of the attempts is not cancelled after the answer")
 	}
 }
 
-// A client that leaves while it waits ends its attempt, and no answer is taken. Lines that
-// it sent too early don't hide it.
+// A client that disconnects while it waits cancels its attempt, and no answer is accepted. Lines
+// that it sent too early do not hide the disconnect.
 func TestClientGoneBeforeAnswerCancelsAttempts(t *testing.T) {
-	b := startSession(t)
-	write(t, b.client, "too early\r\n")
-	b.client.Close()
-	receive(t, b.gone)
-	b.expectSettled(t)
-	receive(t, b.finished)
+	f := startSession(t)
+	write(t, f.client, "too early\r\n")
+	f.client.Close()
+	receive(t, f.gone)
+	f.expectSettled(t)
+	receive(t, f.finished)
 }
 
-// A client that sends more before UP than a buffer holds is answered at once: it costs no
-// more memory, and its end can't hide behind what it sent.
+// A client that sends more before UP than a buffer holds is answered at once: it uses no more
+// memory, and its disconnect cannot be hidden by what it has sent.
 func TestTooMuchDataBeforeUpIsAnsweredAtOnce(t *testing.T) {
-	b := startSession(t)
-	write(t, b.client, strings.Repeat("OPEN a k c=feed,d=1000\r\n", 500))
-	b.expectLine(t, b.clientReader, "ERR\r\n")
-	receive(t, b.gone)
-	b.expectSettled(t)
-	receive(t, b.finished)
+	f := startSession(t)
+	write(t, f.client, strings.Repeat("OPEN a k c=feed,d=1000\r\n", 500))
+	f.expectLine(t, f.clientReader, "ERR\r\n")
+	receive(t, f.gone)
+	f.expectSettled(t)
+	receive(t, f.finished)
 }
 
-// A session that is given up is answered with a failure, once, and is forgotten.
+// A session that is given up is failed once, and its observer is notified.
 func TestGiveUp(t *testing.T) {
-	b := startSession(t)
-	b.session.GiveUp()
-	b.expectLine(t, b.clientReader, "ERR\r\n")
-	receive(t, b.gone)
-	b.expectSettled(t)
-	b.session.GiveUp() // a second notification would close the observer's channel twice
-	b.expectLine(t, b.clientReader, "")
-	receive(t, b.finished)
+	f := startSession(t)
+	f.session.GiveUp()
+	f.expectLine(t, f.clientReader, "ERR\r\n")
+	receive(t, f.gone)
+	f.expectSettled(t)
+	f.session.GiveUp() // a second notification would close the observer's channel twice
+	f.expectLine(t, f.clientReader, "")
+	receive(t, f.finished)
 }
 
-// Giving up an established session changes nothing.
-func TestGiveUpOfAnEstablishedSession(t *testing.T) {
-	b := startSession(t)
-	b.establish(t)
-	b.session.GiveUp()
-	write(t, b.upstream, "yes\r\n")
-	b.expectLine(t, b.clientReader, "yes\r\n")
-	b.closeClient(t)
+// GiveUp does nothing to an established session.
+func TestGiveUpOfEstablishedSessionDoesNothing(t *testing.T) {
+	f := startSession(t)
+	f.establish(t)
+	f.session.GiveUp()
+	write(t, f.upstream, "yes\r\n")
+	f.expectLine(t, f.clientReader, "yes\r\n")
+	f.closeClient(t)
 }
--- a/internal/proxy/brokenpath_test.go
+++ b/internal/proxy/brokenpath_test.go
@@ -27,15 +27,15 @@
 	return n, err
 }
 
-// breakWith has the connection's reads fail as a socket's do.
+// breakWith makes the connection's reads fail with errno, like those of a socket.
 func (c *brokenConn) breakWith(errno syscall.Errno) {
 	var err error = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 	c.err.Store(&err)
 	_ = c.Conn.Close()
 }
 
-// The path to an endpoint may break while the endpoint goes on: its clients are sent MOVE. Only a reset
-// is the endpoint's own end, and is passed on.
+// The path to an upstream may break while the upstream continues to run: its client is sent MOVE.
+// Only a reset comes from the upstream itself, and is passed on to the client.
 func TestBrokenPathToUpstreamMigratesClient(t *testing.T) {
 	for errno, want := range map[syscall.Errno]string{
 		syscall.ETIMEDOUT:    "MOVE\r\n",
@@ -47,52 +47,53 @@
 			clientNear, client := connPair(t)
 			upstreamNear, upstream := connPair(t)
 			broken := &brokenConn{Conn: upstreamNear}
-			b := newFixture(clientNear, client, broken, upstream)
-			b.run()
-			b.establish(t)
+			f := newFixture(clientNear, client, broken, upstream)
+			f.run()
+			f.establish(t)
 			broken.breakWith(errno)
-			got, _ := b.clientReader.ReadString('\n')
+			got, _ := f.clientReader.ReadString('\n')
 			if got != want {
 				t.Errorf("read %q, want %q", got, want)
 			}
-			b.closeClient(t)
+			f.closeClient(t)
 		})
 	}
 }
 
-// What an endpoint sends in one piece after a long silence is relayed, also where its MOVE line grows by
-// a token so that it no longer fits into the client's buffer: the write deadline of the last line, long
-// past by then, must not end the session.
-func TestBurstAfterSilenceIsRelayedWithItsToken(t *testing.T) {
+// What an upstream sends at once after a long silence is relayed, even if the resume token makes
+// its MOVE line so long that it no longer fits into the buffer for the client: the write deadline
+// of the line before, which has passed long ago, must not end the session.
+func TestBurstAfterSilenceIsRelayedWithToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clientNear, client := net.Pipe()
 		upstreamNear, upstream := net.Pipe()
-		b := newFixture(clientNear, client, upstreamNear, upstream)
-		b.session.Resumption = fixedToken{}
-		b.run()
-		b.establish(t)
-		write(t, b.upstream, "first\r\n")
-		b.expectLine(t, b.clientReader, "first\r\n")
-		time.Sleep(time.Minute) // of the test's fake time: any write deadline of the first line is over
+		f := newFixture(clientNear, client, upstreamNear, upstream)
+		f.session.Resumption = fixedToken{}
+		f.run()
+		f.establish(t)
+		write(t, f.upstream, "first\r\n")
+		f.expectLine(t, f.clientReader, "first\r\n")
+		time.Sleep(time.Minute) // fake time: any write deadline of the first line passes
 		lines := strings.Repeat(strings.Repeat("x", 1020)+"\r\n", 4)
-		go fmt.Fprint(b.upstream, lines[:4096-len("\r\nMOVE\r\n")]+"\r\nMOVE\r\n")
+		go fmt.Fprint(f.upstream, lines[:4096-len("\r\nMOVE\r\n")]+"\r\nMOVE\r\n")
 		received, last := 0, ""
 		for !strings.HasPrefix(last, "MOVE") {
 			var err error
-			if last, err = b.clientReader.ReadString('\n'); err != nil {
+			if last, err = f.clientReader.ReadString('\n'); err != nil {
 				t.Fatalf("after %d bytes: %q, %v", received, last, err)
 			}
 			received += len(last)
 		}
-		if want := "MOVE " + (fixedToken{}).Token() + "\r\n"; last != want || received != 4096-len("MOVE\r\n")+len(want) {
+		if want := "MOVE " + (fixedToken{}).Token() + "\r\n"; last != want ||
+			received != 4096-len("MOVE\r\n")+len(want) {
 			t.Errorf("received %d bytes that end with %q, want %q", received, last, want)
 		}
-		b.upstream.Close()
-		b.closeClient(t)
+		f.upstream.Close()
+		f.closeClient(t)
 	})
 }
 
-// fixedToken resumes nothing, and has a token.
+// fixedToken is a Resumption that starts no stream and has a constant token.
 type fixedToken struct{}
 
 func (fixedToken) StartLine(context.Context, string) string { return "" }
--- a/internal/proxy/commitgate.go
+++ b/internal/proxy/commitgate.go
@@ -9,8 +9,8 @@
 	"coralrelay/internal/bufconn"
 )
 
-// CommitGate keeps an inherited session from reading and writing until its sender has
-// closed its own copies of the connections. One goroutine calls Commit or Abort, once.
+// CommitGate blocks the reads and writes of an inherited session until the sender has closed its
+// own copies of the connections. Commit or Abort must be called once, by one goroutine.
 type CommitGate struct {
 	session *Session // nil before Inherit
 	decided chan struct{}
@@ -20,24 +20,24 @@
 // NewCommitGate returns a gate for an EstablishedSession that is about to be inherited.
 func NewCommitGate() *CommitGate { return &CommitGate{decided: make(chan struct{})} }
 
-// Commit lets the session go on: this process alone owns the connections.
+// Commit lets the session proceed: only this process owns the connections now.
 func (g *CommitGate) Commit() { close(g.decided) }
 
-// Abort ends the session with nothing read or written: the connections are still the
-// sender's, and only the copies of this process are closed.
+// Abort ends the session without reading or writing: the sender still owns the connections, and
+// only the copies of this process are closed.
 func (g *CommitGate) Abort() {
 	if g.session != nil {
-		g.session.clientLeft() // before its relay can see an end, which it would pass on
+		g.session.clientLeft() // before the relay can pass the end of its input on to the client
 	}
 	g.aborted = true
 	close(g.decided)
 }
 
-// errHandoverAborted ends the reads from connections that the sender has kept.
+// errHandoverAborted is returned by reads from connections that the sender has kept.
 var errHandoverAborted = errors.New("handover aborted: the sender keeps the connection")
 
-// Read waits for Commit or Abort. It returns no bytes: io.EOF once the connection may be
-// read, else errHandoverAborted.
+// Read waits for Commit or Abort and returns no bytes: it returns io.EOF if the connection may be
+// read now, and errHandoverAborted otherwise.
 func (g *CommitGate) Read([]byte) (int, error) {
 	<-g.decided
 	if g.aborted {
@@ -46,8 +46,8 @@
 	return 0, io.EOF
 }
 
-// newConn returns a buffered connection whose input starts with the unread bytes that the
-// sender had read. Reads wait at the gate; a nil gate is open.
+// newConn returns a buffered connection whose input starts with unread, the bytes that the sender
+// has read but not relayed. Reads wait at the gate; a nil gate is open.
 func (g *CommitGate) newConn(conn net.Conn, unread []byte) *bufconn.Conn {
 	buffered := bufconn.NewWithUnread(conn, unread)
 	if g != nil {
--- a/internal/proxy/end.go
+++ b/internal/proxy/end.go
@@ -5,20 +5,20 @@
 	"coralrelay/internal/audit"
 )
 
-// EndReason is how an established session has ended.
+// EndReason is the reason why an established session has ended.
 type EndReason int
 
-// The reasons for which a session ends.
+// The reasons why a session ends.
 const (
-	EndServed         EndReason = iota // the upstream has said BYE
-	EndMigrated                        // the client was asked to reconnect, by the upstream or by this process
+	EndServed         EndReason = iota // the upstream has sent BYE
+	EndMigrated                        // the upstream or this process has asked the client to reconnect
 	EndUpstreamClosed                  // the upstream closed or reset its connection
-	EndUpstreamSilent                  // the upstream stopped answering, or sent an oversized line
+	EndUpstreamSilent                  // no answer, an oversized line, or a broken path to the upstream
 	EndClientClosed                    // the client closed its connection
-	EndHandedOver                      // another process serves it from now on
+	EndHandedOver                      // another process serves the session from now on
 )
 
-// closeReasons are the reasons as they are counted.
+// closeReasons maps each end reason to the reason under which it is counted.
 var closeReasons = map[EndReason]audit.Reason{
 	EndServed:         audit.CloseServed,
 	EndMigrated:       audit.CloseMigrated,
@@ -28,7 +28,7 @@
 	EndHandedOver:     audit.CloseHandedOver,
 }
 
-// outcome returns the end as it is reported to the Observer.
+// outcome returns the outcome that is reported to the Observer.
 func (r EndReason) outcome() balance.Outcome {
 	switch r {
 	case EndServed:
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -14,7 +14,7 @@
 	"coralrelay/internal/testsocket"
 )
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+const testTimeout = 10 * time.Second // reached only by a test that fails
 
 // connPair returns both ends of a connection on real sockets.
 func connPair(t *testing.T) (near, far net.Conn) {
@@ -39,7 +39,7 @@
 
 func (fakeEncoder) ForwardLine(_, _ time.Time) string { return "OPEN" }
 
-// fakeObserver passes on what it is notified of.
+// fakeObserver forwards its notifications to channels.
 type fakeObserver struct {
 	gone  chan struct{}
 	ended chan balance.Outcome
@@ -49,12 +49,15 @@
 	return &fakeObserver{gone: make(chan struct{}), ended: make(chan balance.Outcome, 1)}
 }
 
-func (w *fakeObserver) ClientGone(dispatch.Placement)                          { close(w.gone) }
-func (w *fakeObserver) PlacementEnded(_ dispatch.Placement, o balance.Outcome) { w.ended <- o }
+func (o *fakeObserver) ClientGone(dispatch.Placement) { close(o.gone) }
 
-func (w *fakeObserver) expectOutcome(t *testing.T, want balance.Outcome) {
+func (o *fakeObserver) PlacementEnded(_ dispatch.Placement, outcome balance.Outcome) {
+	o.ended <- outcome
+}
+
+func (o *fakeObserver) expectOutcome(t *testing.T, want balance.Outcome) {
 	t.Helper()
-	if got := receive(t, w.ended); got != want {
+	if got := receive(t, o.ended); got != want {
 		t.Errorf("ended as %v, want %v", got, want)
 	}
 }
@@ -63,7 +66,7 @@
 type fixture struct {
 	*fakeObserver
 	session          *proxy.Session
-	upstreamConn     *bufconn.Conn // the session's end
+	upstreamConn     *bufconn.Conn // the session's end of the upstream's connection
 	client, upstream net.Conn      // the far ends
 	clientReader     *bufio.Reader
 	upstreamReader   *bufio.Reader
@@ -81,9 +84,9 @@
 	t.Helper()
 	clientNear, client := pair()
 	upstreamNear, upstream := pair()
-	b := newFixture(clientNear, client, upstreamNear, upstream)
-	b.run()
-	return b
+	f := newFixture(clientNear, client, upstreamNear, upstream)
+	f.run()
+	return f
 }
 
 // newFixture returns a fixture whose session does not run yet.
@@ -91,8 +94,9 @@
 	observer := newFakeObserver()
 	request := proxy.Request{ID: "a"}
 	return &fixture{
-		fakeObserver:   observer,
-		session:        proxy.New(request, fakeEncoder{}, lineproto.Codec{}, observer, bufconn.New(clientNear)),
+		fakeObserver: observer,
+		session: proxy.New(request, fakeEncoder{}, lineproto.Codec{}, observer,
+			bufconn.New(clientNear)),
 		upstreamConn:   bufconn.New(upstreamNear),
 		client:         client,
 		upstream:       upstream,
@@ -102,33 +106,33 @@
 	}
 }
 
-func (b *fixture) run() {
+func (f *fixture) run() {
 	go func() {
-		defer close(b.finished)
-		b.session.Run()
+		defer close(f.finished)
+		f.session.Run()
 	}()
 }
 
 // establish establishes the session and reads its UP.
-func (b *fixture) establish(t *testing.T) {
+func (f *fixture) establish(t *testing.T) {
 	t.Helper()
-	if !b.session.Establish("UP r1", "s1", b.upstreamConn) {
-		t.Fatal("UP was not taken")
+	if !f.session.Establish("UP r1", "s1", f.upstreamConn) {
+		t.Fatal("the session did not accept UP")
 	}
-	b.expectLine(t, b.clientReader, "UP r1\r\n")
+	f.expectLine(t, f.clientReader, "UP r1\r\n")
 }
 
-// expectSettled fails the test if the session takes one more answer.
-func (b *fixture) expectSettled(t *testing.T) {
+// expectSettled fails the test if the session accepts another answer.
+func (f *fixture) expectSettled(t *testing.T) {
 	t.Helper()
-	receive(t, b.session.Context().Done())
-	if b.session.Establish("UP r1", "s1", b.upstreamConn) {
-		t.Error("UP was taken by a session that was settled")
+	receive(t, f.session.Context().Done())
+	if f.session.Establish("UP r1", "s1", f.upstreamConn) {
+		t.Error("a settled session accepted UP")
 	}
 }
 
-// expectLine reads one line; the empty one is the end.
-func (b *fixture) expectLine(t *testing.T, from *bufio.Reader, want string) {
+// expectLine reads one line. An empty want is the end of the connection.
+func (f *fixture) expectLine(t *testing.T, from *bufio.Reader, want string) {
 	t.Helper()
 	if got, err := from.ReadString('\n'); got != want {
 		t.Fatalf("read %q, %v; want %q", got, err, want)
@@ -136,10 +140,10 @@
 }
 
 // closeClient closes the client's end and waits for the session to end.
-func (b *fixture) closeClient(t *testing.T) {
+func (f *fixture) closeClient(t *testing.T) {
 	t.Helper()
-	b.client.Close()
-	receive(t, b.finished)
+	f.client.Close()
+	receive(t, f.finished)
 }
 
 func write(t *testing.T, to net.Conn, text string) {
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -8,29 +8,30 @@
 	"coralrelay/internal/lifecycle"
 )
 
-// EstablishedSession is what another process needs, besides the two connections, to go on
-// with a session. Package hotrestart sends it as JSON, also to another version of the
+// EstablishedSession is the state that another process needs, besides the two connections, to
+// continue a session. Package hotrestart sends it as JSON, possibly to another version of the
 // program, so its keys must not change.
 type EstablishedSession struct {
 	Request
 	Server       string    `json:"Server"`
 	FromClient   []byte    `json:"FromCaller"` // read from the client and not yet relayed
 	FromUpstream []byte    `json:"FromHop"`    // read from the upstream and not yet relayed
-	PendingSince time.Time `json:"Pending"`    // when the oldest unanswered client line was relayed; zero if none
+	PendingSince time.Time `json:"Pending"`    // relay time of the oldest unanswered client line, or zero
 	// Gate is set by the receiver while the sender may still keep the connections.
 	Gate *CommitGate `json:"-"`
 }
 
-// Successor is another process that takes sessions over.
+// Successor is another process that takes over sessions.
 type Successor interface {
-	// Take returns true once the successor owns both connections. If it returns false, they
-	// stay this process's, and nothing was read from them or written to them.
+	// Take returns true once the successor owns both connections. If it returns false, this process
+	// still owns them, and nothing was read from them or written to them.
 	Take(state EstablishedSession, client, upstream net.Conn) bool
 }
 
-// HandOver hands an established session to another process, between two lines; if that does
-// not take it, the client is migrated. It returns at once, and before UP it does nothing.
-// A client with a Resumption is always migrated, as its position is not handed over.
+// HandOver hands an established session over to another process, between two relayed lines. If the
+// successor refuses the session, the client is migrated. HandOver returns immediately and does
+// nothing before UP. A client with a Resumption is always migrated, as its position is not handed
+// over.
 func (s *Session) HandOver(successor Successor) {
 	if s.Resumption != nil {
 		s.Migrate()
@@ -38,10 +39,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.MayHandOver() == lifecycle.None {
+	if s.machine.MayHandOver() == lifecycle.None {
 		s.apply(lifecycle.HandoverRequested)
 		s.successor = successor
-		s.client.InterruptRead() // its reader interrupts the relay to the client when it has stopped
+		s.client.InterruptRead() // once stopped, the client's reader interrupts the relay to the client
 	}
 }
 
@@ -51,12 +52,12 @@
 	return s.successor != nil
 }
 
-// offerToSuccessor offers the session to the successor. Nothing reads from either
-// connection any more. With EndMigrated the client is still to be sent MOVE.
+// offerToSuccessor offers the session to the successor. It must be called when nothing reads from
+// either connection any more. If it returns EndMigrated, the client is still to be sent MOVE.
 func (s *Session) offerToSuccessor(upstream *bufconn.Conn) EndReason {
 	s.mu.Lock()
 	s.apply(lifecycle.SuccessorAsked)
-	state, successor := s.life.State(), s.successor
+	state, successor := s.machine.State(), s.successor
 	offer := EstablishedSession{
 		Request:      s.Request,
 		Server:       s.server,
@@ -71,15 +72,15 @@
 	case state == lifecycle.HandoverRevoked:
 		return s.closeUpstream(upstream, EndMigrated)
 	case successor.Take(offer, s.client.Conn, upstream.Conn):
-		s.applyNow(lifecycle.SuccessorTook)
+		s.lockAndApply(lifecycle.SuccessorTook)
 		return EndHandedOver
 	}
-	s.applyNow(lifecycle.SuccessorRefused)
+	s.lockAndApply(lifecycle.SuccessorRefused)
 	return s.closeUpstream(upstream, EndMigrated)
 }
 
-// Inherit returns the session that another process has handed over with its two
-// connections. It is served by Run.
+// Inherit returns the session that another process has handed over with its two connections. Run
+// serves it.
 func Inherit(state EstablishedSession, codec Codec, observer Observer, client, upstream net.Conn) *Session {
 	session := New(state.Request, nil, codec, observer, state.Gate.newConn(client, state.FromClient))
 	upstreamConn := state.Gate.newConn(upstream, state.FromUpstream)
--- a/internal/proxy/life.go
+++ b/internal/proxy/life.go
@@ -13,13 +13,15 @@
 	"coralrelay/internal/mutation"
 )
 
-// lateAnswerAllowance is how long after a request's deadline its answer still counts as one: the margin
-// that was kept back from the client's time, and half a second in which an answer only earns nothing.
+// lateAnswerAllowance is how long after a request's deadline its final answer is not yet a
+// violation: the margin that was subtracted from the client's timeout, plus half a second in which
+// a late answer is merely worthless.
 const lateAnswerAllowance = 525 * time.Millisecond
 
-// auditAnswer checks, right before the final answer is written, that it still is one. A request without
-// a deadline, as of an inherited session, has been answered elsewhere; one that could only be read when its
-// time was over is answered all the same.
+// auditAnswer checks, immediately before the final answer is written, that it is not too late. It
+// skips a request without a deadline, such as that of an inherited session, which another process
+// has answered, and a request that was read only after its deadline, which is answered all the
+// same.
 func (s *Session) auditAnswer(now time.Time) {
 	if s.Deadline.IsZero() || !s.readAt.Before(s.Deadline) {
 		return
@@ -29,49 +31,51 @@
 	}
 }
 
-// AuditClose checks, right before the client's connection is closed by force, that its request has been
-// answered.
+// AuditClose checks, immediately before the client's connection is closed by force, that its
+// request has been answered.
 func (s *Session) AuditClose() {
 	s.mu.Lock()
-	refusal := s.life.MayClose()
+	refusal := s.machine.MayClose()
 	s.mu.Unlock()
 	if refusal != lifecycle.None {
 		audit.Violate(audit.ClosedUnanswered, s.ID)
 	}
 }
 
-// apply applies an event to the session's life and records the change. The lock is held.
+// apply applies an event to the session's state machine and records the change. The caller must
+// hold s.mu.
 func (s *Session) apply(event lifecycle.Event) {
-	from := s.life.State()
-	changed, ok := s.life.Apply(event)
+	from := s.machine.State()
+	changed, ok := s.machine.Apply(event)
 	if !ok {
 		audit.Violate(audit.ImpossibleTransition, s.ID, "event", event.String(), "state", from.String())
 	}
 	if changed {
-		audit.StateChanged(s.ID, event, from, s.life.State())
+		audit.StateChanged(s.ID, event, from, s.machine.State())
 	}
 }
 
-// applyNow is apply for a caller without the lock.
-func (s *Session) applyNow(event lifecycle.Event) {
+// lockAndApply calls apply with s.mu held.
+func (s *Session) lockAndApply(event lifecycle.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(event)
 }
 
-// state is where the session stands.
+// state returns the current state of the session's state machine.
 func (s *Session) state() lifecycle.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.State()
+	return s.machine.State()
 }
 
-// StartAttempt reports that an attempt is to go out. It is refused if another one is out, or none is
-// needed any more; only the attempt that was not refused is ended by EndAttempt.
+// StartAttempt reports that an attempt is about to start. It is refused if another attempt is in
+// progress or no attempt is needed any more. EndAttempt must be called only for an attempt that was
+// not refused.
 func (s *Session) StartAttempt() lifecycle.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	refusal := s.life.MayStartAttempt()
+	refusal := s.machine.MayStartAttempt()
 	switch refusal {
 	case lifecycle.None:
 		s.apply(lifecycle.AttemptStarted)
@@ -81,34 +85,37 @@
 	return refusal
 }
 
-// EndAttempt reports that the attempt that was out has ended without UP, and that its socket is closed.
-func (s *Session) EndAttempt() { s.applyNow(lifecycle.AttemptEnded) }
+// EndAttempt reports that the attempt in progress has ended without UP and that its socket is
+// closed.
+func (s *Session) EndAttempt() { s.lockAndApply(lifecycle.AttemptEnded) }
 
-// MaySend is asked right before the first byte of an attempt is written, with the time as it is then.
+// MaySend returns whether an attempt may be sent. It must be called immediately before the first
+// byte of the attempt is written, with the current time.
 func (s *Session) MaySend(now time.Time, attempt lifecycle.Attempt) lifecycle.Refusal {
 	attempt.ClientHasLeft = s.ClientHasLeft()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.MayAttempt(now, attempt)
+	return s.machine.MayAttempt(now, attempt)
 }
 
-// ClientHasLeft reports whether the client has closed its connection, or broken it, as its socket says
-// now: what the client has sent before need not have been read.
+// ClientHasLeft reports whether the client has closed its connection or the connection is broken,
+// according to its socket. Input that the client has sent before may still be unread.
 func (s *Session) ClientHasLeft() bool {
 	return !mutation.Enabled("client_left") && hasLeft(s.client.Conn)
 }
 
-// hasLeft reports whether the other side of a connection has closed it or broken it. It reads nothing.
+// hasLeft reports whether the peer has closed the connection or the connection is broken. It reads
+// nothing.
 func hasLeft(conn net.Conn) (left bool) {
-	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	const disconnected = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	err := bufconn.WithDescriptor(conn, func(fd int) error {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		count, pollErr := unix.Poll(polled, 0)
-		left = pollErr == nil && count > 0 && polled[0].Revents&ended != 0
-		return nil // a poll that fails says nothing
+		left = pollErr == nil && count > 0 && polled[0].Revents&disconnected != 0
+		return nil // a failed poll gives no information
 	})
 	if errors.Is(err, bufconn.ErrNoDescriptor) {
-		return false // a test's
+		return false // only in tests: the connection has no descriptor
 	}
-	return left || err != nil // the connection is closed
+	return left || err != nil // WithDescriptor fails if the connection is closed
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -1,6 +1,6 @@
 package proxy_test
 
-// What happens between two steps of a session that is established or about to be.
+// Tests of events between two steps of a session that is established or about to be.
 
 import (
 	"fmt"
@@ -13,70 +13,72 @@
 	"coralrelay/internal/bufconn"
 )
 
-// An upstream that sends more than a line may have, or never ends its line, was once broken
-// off by a reset without MOVE, although it still answered.
+// An upstream that sends an oversized line, or never ends its line, used to be disconnected by a
+// reset without MOVE, although it still answered.
 func TestOversizedUpstreamLineMigratesClient(t *testing.T) {
-	b := startSession(t)
-	b.establish(t)
-	write(t, b.upstream, "whole\r\n"+strings.Repeat("x", bufconn.BufferSize+1))
-	b.expectLine(t, b.clientReader, "whole\r\n")
-	b.expectLine(t, b.clientReader, "MOVE\r\n")
-	b.expectOutcome(t, balance.Reset)
-	b.closeClient(t)
+	f := startSession(t)
+	f.establish(t)
+	write(t, f.upstream, "whole\r\n"+strings.Repeat("x", bufconn.BufferSize+1))
+	f.expectLine(t, f.clientReader, "whole\r\n")
+	f.expectLine(t, f.clientReader, "MOVE\r\n")
+	f.expectOutcome(t, balance.Reset)
+	f.closeClient(t)
 }
 
-// What an upstream has on its way when its client is migrated, half a line, does not reset
-// it: the client's last line is read and its end seen, and there is one MOVE.
+// A partial line that an upstream sends while its client is migrated does not reset the upstream's
+// connection: the upstream reads the client's last line and the end of the connection, and there is
+// one MOVE.
 func TestPartialUpstreamLineDuringMigration(t *testing.T) {
 	for name, upstreamLine := range map[string]string{"migrated here": "", "migrated by both": "MOVE\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			b := startSession(t)
-			b.establish(t)
-			write(t, b.client, "last\r\n")
-			b.expectLine(t, b.upstreamReader, "last\r\n")
-			write(t, b.upstream, upstreamLine)
+			f := startSession(t)
+			f.establish(t)
+			write(t, f.client, "last\r\n")
+			f.expectLine(t, f.upstreamReader, "last\r\n")
+			write(t, f.upstream, upstreamLine)
 			if upstreamLine != "" {
-				b.expectLine(t, b.clientReader, upstreamLine)
+				f.expectLine(t, f.clientReader, upstreamLine)
 			}
-			b.session.Migrate()
+			f.session.Migrate()
 			if upstreamLine == "" {
-				b.expectLine(t, b.clientReader, "MOVE\r\n")
+				f.expectLine(t, f.clientReader, "MOVE\r\n")
 			}
-			for i := range 3 { // if nobody read any more, the first would show it and the next would fail
-				if _, err := fmt.Fprintf(b.upstream, "half a line %d", i); err != nil && upstreamLine == "" {
+			for i := range 3 { // without a reader, the first write provokes a reset and the next one fails
+				if _, err := fmt.Fprintf(f.upstream, "half a line %d", i); err != nil && upstreamLine == "" {
 					t.Errorf("piece %d: %v", i, err)
 				}
 			}
-			b.expectLine(t, b.clientReader, "")   // the end, and no second MOVE
-			b.expectLine(t, b.upstreamReader, "") // the end, and no reset
-			b.client.Close()
-			b.upstream.Close()
-			receive(t, b.finished)
+			f.expectLine(t, f.clientReader, "")   // the end, and no second MOVE
+			f.expectLine(t, f.upstreamReader, "") // the end, and no reset
+			f.client.Close()
+			f.upstream.Close()
+			receive(t, f.finished)
 		})
 	}
 }
 
-// Half a line of the client's at the migration is not relayed: the upstream has complete
-// lines, as many as came before its end, and then that end.
+// A partial line of the client at the migration is not relayed: the upstream reads complete lines,
+// as many as arrived before its connection was closed, and then the end.
 func TestPartialClientLineDuringMigration(t *testing.T) {
-	b := startSession(t)
-	b.establish(t)
-	write(t, b.client, "whole\r\nhalf a li")
-	b.expectLine(t, b.upstreamReader, "whole\r\n")
-	b.session.Migrate()
-	b.expectLine(t, b.clientReader, "MOVE\r\n")
-	write(t, b.client, "ne\r\nand more\r\n") // crosses the end of the other connection
-	b.expectLine(t, b.clientReader, "")
-	rest, err := io.ReadAll(b.upstreamReader)
+	f := startSession(t)
+	f.establish(t)
+	write(t, f.client, "whole\r\nhalf a li")
+	f.expectLine(t, f.upstreamReader, "whole\r\n")
+	f.session.Migrate()
+	f.expectLine(t, f.clientReader, "MOVE\r\n")
+	write(t, f.client, "ne\r\nand more\r\n") // crosses the close of the upstream's connection
+	f.expectLine(t, f.clientReader, "")
+	rest, err := io.ReadAll(f.upstreamReader)
 	isPrefix := strings.HasPrefix("half a line\r\nand more\r\n", string(rest))
 	isComplete := len(rest) == 0 || rest[len(rest)-1] == '\n'
 	if err != nil || !isPrefix || !isComplete {
 		t.Errorf("the upstream read %q, %v", rest, err)
 	}
-	b.closeClient(t)
+	f.closeClient(t)
 }
 
-// UP and what ends its connection in one segment: the client reads UP, and then the end.
+// An upstream sends UP and the end of its connection in one segment: the client reads UP, and then
+// the end.
 func TestUpstreamEndsRightAfterUp(t *testing.T) {
 	sendBye := func(upstream net.Conn) {
 		fmt.Fprint(upstream, "BYE\r\n")
@@ -91,28 +93,28 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := startSession(t)
-			tt.end(b.upstream) // it is in the socket before the session is established
-			b.establish(t)
-			b.expectOutcome(t, tt.want)
-			b.closeClient(t)
+			f := startSession(t)
+			tt.end(f.upstream) // it is in the socket before the session is established
+			f.establish(t)
+			f.expectOutcome(t, tt.want)
+			f.closeClient(t)
 		})
 	}
 }
 
-// A migration that is asked for between UP and its relay: UP goes first, then MOVE.
+// A migration is requested between UP and its relay: the client reads UP first, then MOVE.
 func TestMigrationBeforeUpIsRelayed(t *testing.T) {
 	clientNear, client := connPair(t)
 	upstreamNear, upstream := connPair(t)
-	b := newFixture(clientNear, client, upstreamNear, upstream)
-	if !b.session.Establish("UP r1", "s1", b.upstreamConn) {
-		t.Fatal("UP was not taken")
+	f := newFixture(clientNear, client, upstreamNear, upstream)
+	if !f.session.Establish("UP r1", "s1", f.upstreamConn) {
+		t.Fatal("the session did not accept UP")
 	}
-	b.session.Migrate()
-	b.session.Migrate()
-	b.run()
-	b.expectLine(t, b.clientReader, "UP r1\r\n")
-	b.expectLine(t, b.clientReader, "MOVE\r\n")
-	b.expectOutcome(t, balance.Cancelled)
-	b.closeClient(t)
+	f.session.Migrate()
+	f.session.Migrate()
+	f.run()
+	f.expectLine(t, f.clientReader, "UP r1\r\n")
+	f.expectLine(t, f.clientReader, "MOVE\r\n")
+	f.expectOutcome(t, balance.Cancelled)
+	f.closeClient(t)
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// answerTimeout is how long an upstream may leave a client's line unanswered before the
-	// client is migrated. Sound upstreams answer within a millisecond or two; clients write
-	// every 2 s, and a dead connection must be left within 7 s.
+	// answerTimeout is how long an upstream may leave a client's line unanswered before the client
+	// is migrated. Healthy upstreams answer within a millisecond or two; clients write every 2 s,
+	// and must be moved off a dead connection within 7 s.
 	answerTimeout = 1500 * time.Millisecond
-	// answerGracePeriod is a further wait before an upstream counts as silent. After a pause
-	// of this process its deadlines have passed although the answers wait in its sockets,
-	// and it would migrate all clients at once.
+	// answerGracePeriod is a further wait before an upstream counts as silent. After a pause of
+	// this process its read deadlines have passed although the answers wait in the sockets, and it
+	// would otherwise migrate all clients at once.
 	answerGracePeriod = 250 * time.Millisecond
-	// writeTimeout is how long one write may block on a slow reader. Nothing is read from
-	// the other side meanwhile, so memory does not grow.
+	// writeTimeout is how long one write may block on a slow reader. Nothing is read from the other
+	// side meanwhile, so memory use does not grow.
 	writeTimeout = 5 * time.Second
 )
 
-// startAnswerTimeout notes that a line of the client's waits for the upstream's answer.
+// startAnswerTimeout records that a line of the client waits for the upstream's answer.
 func (s *Session) startAnswerTimeout(upstream *bufconn.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	state := s.life.State()
+	state := s.machine.State()
 	if s.pendingSince.IsZero() && !state.IsMigrating() && state != lifecycle.ClientGone {
 		s.pendingSince, s.graceUsed = time.Now(), false
 		if state == lifecycle.Established {
@@ -40,22 +40,23 @@
 	}
 }
 
-// stopAnswerTimeout notes that the upstream has answered.
+// stopAnswerTimeout records that the upstream has answered.
 func (s *Session) stopAnswerTimeout(upstream *bufconn.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.pendingSince.IsZero() && s.life.State() == lifecycle.Established {
+	if !s.pendingSince.IsZero() && s.machine.State() == lifecycle.Established {
 		_ = upstream.SetReadDeadline(time.Time{})
 	}
 	s.pendingSince = time.Time{}
 }
 
-// grantGracePeriod is asked when a read from the upstream has failed. It returns true,
-// once for each pending line, if that line has waited for its answer for too long.
+// grantGracePeriod is called when a read from the upstream has failed with err. It extends the read
+// deadline and returns true, once for each pending line, if the read failed because that line has
+// waited for its answer for too long.
 func (s *Session) grantGracePeriod(upstream *bufconn.Conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !errors.Is(err, os.ErrDeadlineExceeded) || s.graceUsed || s.life.State() != lifecycle.Established {
+	if !errors.Is(err, os.ErrDeadlineExceeded) || s.graceUsed || s.machine.State() != lifecycle.Established {
 		return false
 	}
 	s.graceUsed = true
@@ -63,9 +64,9 @@
 	return true
 }
 
-// relayToClient relays the upstream's lines, starting with its UP, until either side ends,
-// the client is to be migrated or the session is to be handed over. Only complete lines are
-// written, so MOVE always stands between two.
+// relayToClient relays the upstream's lines, starting with its UP, until either side ends, the
+// client is to be migrated or the session is to be handed over. It writes only complete lines, so
+// that MOVE always stands between two lines.
 func (s *Session) relayToClient(up answer) EndReason {
 	if up.line != "" {
 		s.auditAnswer(time.Now())
@@ -85,7 +86,7 @@
 			return s.finishRelay(up.upstream, reason, err)
 		}
 		switch s.codec.Classify(line) {
-		case LineLoadReport: // is no answer
+		case LineLoadReport: // answers no line of the client
 		case LineMove:
 			reason = EndMigrated
 			line = s.withToken(line)
@@ -108,23 +109,24 @@
 	}
 }
 
-// finishRelay ends both sides after a read from the upstream has failed with err. reason is
-// what the upstream's last line said.
+// finishRelay ends both sides after a read from the upstream has failed with err. reason is the end
+// reason according to the upstream's last line.
 func (s *Session) finishRelay(upstream *bufconn.Conn, reason EndReason, err error) EndReason {
 	state, handingOver := s.state(), s.isHandingOver()
 	switch {
 	case state == lifecycle.ClientGone:
 		return s.closeUpstream(upstream, EndClientClosed)
-	case reason != EndUpstreamClosed: // its last line was relayed
+	case reason != EndUpstreamClosed: // the upstream's MOVE or BYE was relayed
 	case state.IsMigrating():
 		return s.migrateClient(upstream, EndMigrated)
 	case handingOver && errors.Is(err, os.ErrDeadlineExceeded):
 		return EndHandedOver
-	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, bufio.ErrBufferFull), neterr.IsBrokenPath(err):
+	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, bufio.ErrBufferFull),
+		neterr.IsBrokenPath(err):
 		return s.migrateClient(upstream, EndUpstreamSilent)
 	case s.migrateWithToken(), errors.Is(err, io.EOF):
 	default:
-		s.client.Abort() // reset, as its upstream was
+		s.client.Abort() // resets the client's connection like the upstream's
 		return s.closeUpstream(upstream, EndUpstreamClosed)
 	}
 	_ = upstream.Close()
@@ -132,8 +134,8 @@
 	return reason
 }
 
-// migrateClient sends the client MOVE and ends the upstream's input. What the upstream
-// still has on its way is read by Run.
+// migrateClient sends MOVE to the client and closes the sending side of the upstream's connection.
+// Run reads and discards what the upstream still sends.
 func (s *Session) migrateClient(upstream *bufconn.Conn, reason EndReason) EndReason {
 	if !mutation.Enabled("move") {
 		_ = s.client.WriteLine(s.moveLine(), time.Now().Add(writeTimeout))
@@ -143,7 +145,7 @@
 	return reason
 }
 
-// closeUpstream closes the upstream's connection at once.
+// closeUpstream closes the upstream's connection immediately and returns reason.
 func (s *Session) closeUpstream(upstream *bufconn.Conn, reason EndReason) EndReason {
 	_ = upstream.Close()
 	return reason
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -13,56 +13,58 @@
 	"coralrelay/internal/mutation"
 )
 
-// Request describes what a client asks for. It does not change.
+// Request describes what a client requests. It is immutable.
 type Request = dispatch.Request
 
-// Observer is notified of a session's end; the dispatcher's event loop is one. Its methods
+// Observer is notified of a session's end. The dispatcher's event loop implements it. Its methods
 // must not wait for the session.
 type Observer interface {
-	// ClientGone is called when the client has left before its answer, or was given up.
+	// ClientGone is called when the client has disconnected before its answer, or the session was
+	// given up.
 	ClientGone(item dispatch.Placement)
-	// PlacementEnded is called once for an established session, when nothing is relayed any more.
+	// PlacementEnded is called once for an established session, when its relay has ended.
 	PlacementEnded(item dispatch.Placement, outcome balance.Outcome)
 }
 
-// answer is a session's final answer, on its way from the dispatcher to the client.
+// answer is a session's final answer, passed from the dispatcher to Run.
 type answer struct {
-	line     string        // empty if another process has written it already
+	line     string        // empty if another process has already written it
 	upstream *bufconn.Conn // set if the line is an upstream's UP
-	server   string        // and then the upstream's server id
-	rejected bool          // without an upstream: the request was rejected rather than failed
+	server   string        // the upstream's server id, if upstream is set
+	rejected bool          // if upstream is nil: the request was rejected rather than failed
 }
 
-// Session is one request and, once it is established, the connection between its client
-// and an upstream.
+// Session is one request and, once it is established, the connection between its client and an
+// upstream.
 type Session struct {
 	Request
 	RequestEncoder
-	Resumption                // nil if the client did not ask for it; set before Run
-	Metrics    *metrics.Class // counts the final answer when it is written; nil if nothing counts it
+	Resumption                // nil if the client did not request it; set before Run
+	Metrics    *metrics.Class // counts the final answer when it is written; nil if it is not counted
 
 	codec    Codec
 	observer Observer
 	client   *bufconn.Conn
 	readAt   time.Time // when the request was read
 
-	ctx         context.Context // ends when the session is settled
+	ctx         context.Context // cancelled when the session is settled
 	cancel      context.CancelFunc
-	finalAnswer chan answer // buffers the one final answer; closed if the client left before it
+	finalAnswer chan answer // buffers the final answer; closed if the client disconnected before it
 
-	mu           sync.Mutex        // guards what follows
-	life         lifecycle.Machine // where the session stands, and what may happen to it
+	mu           sync.Mutex        // guards the fields below
+	machine      lifecycle.Machine // the session's state machine
 	upstream     *bufconn.Conn     // nil before UP
 	server       string            // the upstream's server id
 	successor    Successor         // the process to hand the session over to; nil if none
-	pendingSince time.Time         // when the oldest unanswered line of the client was sent on; zero if none is pending
+	pendingSince time.Time         // relay time of the oldest unanswered client line, or zero
 	graceUsed    bool              // the grace period for the pending line was granted
 }
 
 var _ dispatch.Placement = (*Session)(nil)
 
-// New returns a session for a request that was read from client. It is served by Run.
-func New(request Request, encoder RequestEncoder, codec Codec, observer Observer, client *bufconn.Conn) *Session {
+// New returns a session for a request that was read from client. Run serves it.
+func New(request Request, encoder RequestEncoder, codec Codec, observer Observer,
+	client *bufconn.Conn) *Session {
 	s := &Session{
 		Request:        request,
 		RequestEncoder: encoder,
@@ -79,16 +81,16 @@
 // PlacementRequest returns the request, for the dispatcher.
 func (s *Session) PlacementRequest() *dispatch.Request { return &s.Request }
 
-// Context ends when no attempt is needed any more: the client has left, or the final
-// answer was given.
+// Context returns a context that is cancelled when no attempt is needed any more: the client has
+// disconnected, or the final answer was given.
 func (s *Session) Context() context.Context { return s.ctx }
 
-// settle gives the final answer by an event. It returns false if there is one already, or the client
-// has left.
+// settle applies an event that gives the final answer. It returns false if there is an answer
+// already, or the client has disconnected.
 func (s *Session) settle(event lifecycle.Event, final answer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.MayAnswer() != lifecycle.None {
+	if s.machine.MayAnswer() != lifecycle.None {
 		return false
 	}
 	s.apply(event)
@@ -102,48 +104,49 @@
 }
 
 // Reject gives the final answer that rejects the request. The client is asked to wait for
-// retryAfter, if that is positive. It returns false if the session was settled before.
+// retryAfter before it retries, if that is positive. Reject returns false if the session was
+// already settled.
 func (s *Session) Reject(retryAfter time.Duration) bool {
 	return s.settle(lifecycle.AnswerChosen, answer{line: s.codec.Busy(retryAfter), rejected: true})
 }
 
-// Fail gives the final answer that fails the request. It returns false if the session was
-// settled before.
+// Fail gives the final answer that fails the request. It returns false if the session was already
+// settled.
 func (s *Session) Fail() bool {
 	return s.settle(lifecycle.AnswerChosen, answer{line: s.codec.Failed()})
 }
 
-// GiveUp fails a session for which no upstream can be found in the time that is left, as
-// during shutdown, and lets the observer forget it. It does nothing to a settled session.
+// GiveUp fails a session for which no upstream can be found in the remaining time, as during a
+// shutdown, and notifies the observer. It does nothing if the session is settled.
 func (s *Session) GiveUp() {
 	if s.Fail() {
 		s.observer.ClientGone(s)
 	}
 }
 
-// Establish gives the final answer UP, as the upstream worded it in line. The session owns
-// the upstream's connection from then on. If it returns false, the session was settled
-// before and the connection stays the caller's.
+// Establish gives the final answer UP, with line as the upstream sent it. The session owns the
+// upstream's connection from then on. If Establish returns false, the session was already settled
+// and the caller still owns the connection.
 func (s *Session) Establish(line, server string, upstream *bufconn.Conn) bool {
 	return s.settle(lifecycle.UpReceived, answer{line: line, server: server, upstream: upstream})
 }
 
-// Migrate asks the client to reconnect. It also takes precedence over a handover that has
-// not been offered yet. Before UP it does nothing.
+// Migrate asks the client to reconnect. It takes precedence over a handover that has not been
+// offered to the successor yet. It does nothing before UP.
 func (s *Session) Migrate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.MayMigrate() == lifecycle.None {
+	if s.machine.MayMigrate() == lifecycle.None {
 		s.apply(lifecycle.MigrationRequested)
 		s.upstream.InterruptRead()
 	}
 }
 
-// clientLeft is called when the client's connection has ended.
+// clientLeft handles the end of the client's connection.
 func (s *Session) clientLeft() {
 	s.mu.Lock()
-	unanswered := !s.life.State().HasAnswer()
-	if unanswered && mutation.Enabled("client_left") { // its attempts go on
+	unanswered := !s.machine.State().HasAnswer()
+	if unanswered && mutation.Enabled("client_left") { // the attempts of the session continue
 		s.mu.Unlock()
 		return
 	}
@@ -159,5 +162,6 @@
 	}
 }
 
-// IsEstablished reports whether the session is up and is neither migrated nor handed over.
+// IsEstablished reports whether the session is established and neither being migrated nor handed
+// over.
 func (s *Session) IsEstablished() bool { return s.state() == lifecycle.Established }
--- a/internal/proxy/successor_test.go
+++ b/internal/proxy/successor_test.go
@@ -10,12 +10,12 @@
 	"coralrelay/internal/proxy"
 )
 
-// fakeSuccessor is another process, whose answer waits until the test gives it. It runs the
-// session that it is offered.
+// fakeSuccessor is a successor that answers when the test tells it to. It runs the session that it
+// is offered.
 type fakeSuccessor struct {
 	*fakeObserver
 	t        *testing.T
-	offered  chan struct{}            // closed by the offer
+	offered  chan struct{}            // closed when the session is offered
 	accepts  chan bool                // the answer
 	state    proxy.EstablishedSession // as offered
 	finished chan struct{}            // closed when the inherited session's Run has returned
@@ -35,7 +35,8 @@
 	state.FromClient, state.FromUpstream = bytes.Clone(state.FromClient), bytes.Clone(state.FromUpstream)
 	state.Gate = proxy.NewCommitGate()
 	f.state = state
-	session := proxy.Inherit(state, lineproto.Codec{}, f.fakeObserver, f.copyConn(client), f.copyConn(upstream))
+	session := proxy.Inherit(state, lineproto.Codec{}, f.fakeObserver,
+		f.copyConn(client), f.copyConn(upstream))
 	go func() {
 		defer close(f.finished)
 		session.Run()
@@ -50,7 +51,8 @@
 	return accepts
 }
 
-// copyConn returns a second descriptor of a connection, as another process would receive it.
+// copyConn returns a connection on a duplicate of the descriptor, as another process would receive
+// it.
 func (f *fakeSuccessor) copyConn(conn net.Conn) net.Conn {
 	file, err := conn.(interface{ File() (*os.File, error) }).File()
 	if err != nil {
