--- a/internal/bufconn/conn.go
+++ b/internal/bufconn/conn.go
@@ -82,7 +82,7 @@
 // exhausted: ReadRawLine returns io.EOF for the former and bufio.ErrBufferFull for the latter.
 func (c *Conn) ReadRawLine() ([]byte, error) {
 	for {
-		line, complete := c.firstLine()
+		line, complete := c.peekLine()
 		switch {
 		case complete:
 			_, err := c.R.Discard(len(line))
@@ -96,9 +96,9 @@
 	}
 }
 
-// firstLine returns the buffered bytes up to and including the first newline, and whether that
+// peekLine returns the buffered bytes up to and including the first newline, and whether that
 // newline is buffered.
-func (c *Conn) firstLine() (line []byte, complete bool) {
+func (c *Conn) peekLine() (line []byte, complete bool) {
 	unread := c.Unread()
 	if i := bytes.IndexByte(unread, '\n'); i >= 0 {
 		return unread[:i+1], true
@@ -108,7 +108,7 @@
 
 // HasLine reports whether a complete line is buffered, so that reading it does not block.
 func (c *Conn) HasLine() bool {
-	_, complete := c.firstLine()
+	_, complete := c.peekLine()
 	return complete
 }
 
--- a/internal/bufconn/conn_test.go
+++ b/internal/bufconn/conn_test.go
@@ -28,7 +28,7 @@
 		fmt.Fprint(far, "answer\r\n")
 		if line, err := conn.ReadTextLineBefore(time.Now().Add(20 * time.Millisecond)); err != nil ||
 			string(line) != "answer" {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("read %q, %v; want the answer", line, err)
 		}
 		detached := conn.Detach()
 		time.Sleep(30 * time.Millisecond) // the deadline of the read above passes
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if detached := conn.Detach(); detached != nil {
-		t.Error("detached with input left over")
+		t.Error("Detach returned a connection that has unread input")
 	}
 }
 
@@ -64,6 +64,6 @@
 	}
 	pipe, _ := net.Pipe()
 	if age := SinceLastArrival(pipe); age != 0 {
-		t.Errorf("a pipe: %v", age)
+		t.Errorf("age of a pipe without a descriptor: %v", age)
 	}
 }
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -12,8 +12,8 @@
 	// minLinger is the minimum time that a client that may still be sending its request lingers
 	// after its last byte or its connect, even if other clients wait for its socket.
 	minLinger = 25 * time.Millisecond
-	// minAnswerLinger is the minimum time that such a client lingers after its answer. What it was
-	// sending when it got the answer arrives within that time.
+	// minAnswerLinger is the minimum time that such a client lingers after its answer. Bytes that
+	// were in flight when the client received the answer arrive within that time.
 	minAnswerLinger = 5 * time.Millisecond
 )
 
--- a/internal/downstream/capacity_test.go
+++ b/internal/downstream/capacity_test.go
@@ -63,12 +63,13 @@
 	}
 	fmt.Fprint(conn, "HELLO\r\n")
 	if text, err := bufio.NewReader(conn).ReadString('\n'); text != "ERR\r\n" && text != "BUSY\r\n" {
-		t.Errorf("an ordinary client behind %d others: %q, %v after %v", others, text, err, time.Since(start))
+		t.Errorf("an ordinary client behind %d others read %q, %v after %v",
+			others, text, err, time.Since(start))
 	}
 }
 
 // A limit that falls below the number of open sessions, as the endpoint list grows or another
-// process takes its share, makes the server reject new clients, which it still accepts.
+// process takes its share, makes the server reject new clients; it still accepts their connections.
 func TestSocketLimitBelowOpenSessionsRejectsNewClients(t *testing.T) {
 	dispatcher := newHoldingDispatcher()
 	s := New(dispatcher, nil, Limits{Sockets: 32})
@@ -81,7 +82,7 @@
 	for range 20 {
 		newClient := listener.connect(t, "OPEN b k c=feed,d=900\r\n")
 		if text := readAll(t, newClient); text != "BUSY\r\n" {
-			t.Errorf("a new client: %q", text)
+			t.Errorf("a new client read %q", text)
 		}
 		newClient.Close()
 	}
@@ -116,7 +117,7 @@
 	for i, conn := range rejected {
 		_ = conn.SetDeadline(start.Add(testTimeout))
 		if text := readAll(t, conn); text != "BUSY\r\n" {
-			t.Fatalf("new client %d: %q", i, text)
+			t.Fatalf("new client %d read %q", i, text)
 		}
 	}
 	if took := time.Since(start); took > limit {
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -47,7 +47,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if text := readAll(t, listener.connect(t, "OPEN new k c=feed,d=900\r\n")); text != "BUSY\r\n" {
-		t.Errorf("a new client: %q", text)
+		t.Errorf("a new client read %q", text)
 	}
 	for _, client := range []struct {
 		name string
@@ -61,7 +61,7 @@
 		{"established", established, "MOVE\r\n"},
 	} {
 		if text := readAll(t, client.far); text != client.want {
-			t.Errorf("%s: %q, want %q", client.name, text, client.want)
+			t.Errorf("%s: read %q, want %q", client.name, text, client.want)
 		}
 		client.far.Close()
 	}
@@ -135,12 +135,12 @@
 	text, err := bufio.NewReader(idle).ReadString('\n')
 	answeredAfter := time.Since(start)
 	if text != "BUSY\r\n" || answeredAfter > 2*time.Second {
-		t.Errorf("%q, %v after %v", text, err, answeredAfter)
+		t.Errorf("the idle client read %q, %v after %v", text, err, answeredAfter)
 	}
 	// Without a session the client is answered when no more clients arrive, otherwise when its
 	// first-line timeout has passed.
 	if !withSession && (answeredAfter < arrivalWindow || answeredAfter > arrivalWindow+2*drainInterval) {
-		t.Errorf("answered after %v, want about %v", answeredAfter, arrivalWindow)
+		t.Errorf("the idle client was answered after %v, want about %v", answeredAfter, arrivalWindow)
 	}
 	if sent := writeUntilClosed(idle); sent < lingerTimeout {
 		t.Errorf("the idle client was cut off %v after its answer", sent)
@@ -158,7 +158,7 @@
 		close(closed)
 	}()
 	if text, err := bufio.NewReader(last).ReadString('\n'); text != "BUSY\r\n" {
-		t.Errorf("the client that was accepted last: %q, %v", text, err)
+		t.Errorf("the client that was accepted last read %q, %v", text, err)
 	}
 	last.Close()
 	<-closed
@@ -216,7 +216,7 @@
 	}
 	close(dispatcher.release)
 	if text := readAll(t, client); text != "ERR\r\n" {
-		t.Errorf("answered %q", text)
+		t.Errorf("the client read %q", text)
 	}
 	client.Close()
 	<-drained
--- a/internal/downstream/exhausted_test.go
+++ b/internal/downstream/exhausted_test.go
@@ -42,11 +42,11 @@
 			second := listener.connect(t, "OPEN a k c=feed,d=1000\r\n") // the accept after this one fails
 			third := listener.connect(t, "OPEN b k c=feed,d=1000\r\n")
 			if got := readAll(t, second) + readAll(t, third); got != "BUSY\r\nBUSY\r\n" {
-				t.Errorf("%v: ordinary clients got %q", errno, got)
+				t.Errorf("%v: ordinary clients read %q", errno, got)
 			}
 			if freed == 0 {
 				if got := readAll(t, idle); got != "BUSY\r\n" {
-					t.Errorf("%v: the idle client got %q", errno, got)
+					t.Errorf("%v: the idle client read %q", errno, got)
 				}
 			}
 			stopServing()
@@ -67,7 +67,7 @@
 	listener.failures <- struct{}{}
 	stopServing := serve(t, s, listener)
 	if got := readAll(t, listener.connect(t, "OPEN a k c=feed,d=1000\r\n")); got != "BUSY\r\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("the client read %q", got)
 	}
 	stopServing()
 	s.Close()
--- a/internal/downstream/firstline.go
+++ b/internal/downstream/firstline.go
@@ -38,12 +38,12 @@
 	defer s.removeClient(client)
 	conn := bufconn.New(client.conn)
 	for pings := 0; ; pings++ {
-		text, err := conn.ReadTextLine()
+		line, err := conn.ReadTextLine()
 		if err != nil {
 			s.endWithoutRequest(client, conn, err)
 			return
 		}
-		if string(text) == lineproto.Ping && pings < maxPings {
+		if string(line) == lineproto.Ping && pings < maxPings {
 			answer := lineproto.Pong
 			if !s.AcceptsClients() {
 				answer = s.busyLine()
@@ -55,7 +55,7 @@
 			continue
 		}
 		client.requestRead = true
-		request, err := lineproto.ParseConnectRequest(text)
+		request, err := lineproto.ParseConnectRequest(line)
 		if err != nil {
 			s.rejectFirstLine(client, conn, err)
 			return
@@ -67,17 +67,17 @@
 
 // endWithoutRequest ends a connection on which reading the first line has failed with err.
 func (s *Server) endWithoutRequest(client *pendingClient, conn *bufconn.Conn, err error) {
-	silent := conn.R.Buffered() == 0
+	noInput := conn.R.Buffered() == 0
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	// A read that timed out before the client's deadline was interrupted by evict, which is not an
 	// error of the client.
 	evicted := timedOut && time.Now().Before(client.deadline)
 	switch {
-	case timedOut && silent, evicted:
+	case timedOut && noInput, evicted:
 		client.requestRead = endsRequest(bufconn.DiscardAvailable(client.conn))
 		audit.Count(audit.CloseNoFirstLine)
 		_ = s.lingeringClose(client, conn, s.busyLine())
-	case silent: // the client has disconnected
+	case noInput: // the client has disconnected
 		conn.Release()
 	default:
 		s.rejectFirstLine(client, conn, err)
--- a/internal/downstream/firstline_test.go
+++ b/internal/downstream/firstline_test.go
@@ -31,7 +31,7 @@
 					fmt.Fprint(far, text[cut:])
 					answer, _ := bufio.NewReader(far).ReadString('\n')
 					if answer != "BUSY\r\n" || len(dispatcher) != 1 {
-						t.Errorf("cut at %d: %q, %d submitted", cut, answer, len(dispatcher))
+						t.Errorf("cut at %d: read %q, %d sessions submitted", cut, answer, len(dispatcher))
 					}
 				}
 				far.Close()
--- a/internal/downstream/fixture_test.go
+++ b/internal/downstream/fixture_test.go
@@ -147,7 +147,7 @@
 	t.Helper()
 	text, err := io.ReadAll(far)
 	if err != nil {
-		t.Errorf("after %q: %v", text, err)
+		t.Errorf("read %q, then the error %v", text, err)
 	}
 	return string(text)
 }
--- a/internal/downstream/lingering_test.go
+++ b/internal/downstream/lingering_test.go
@@ -90,14 +90,14 @@
 			reader := bufio.NewReader(far)
 			for range tt.pongs {
 				if text, err := reader.ReadString('\n'); text != "PONG\r\n" {
-					t.Fatalf("%q, %v", text, err)
+					t.Fatalf("read %q, %v; want PONG", text, err)
 				}
 			}
 			if tt.meanwhile != nil {
 				tt.meanwhile(t, s, listener)
 			}
 			if rest, err := io.ReadAll(reader); err != nil || string(rest) != tt.want+"\r\n" {
-				t.Errorf("%q, %v; want %q and the end", rest, err, tt.want)
+				t.Errorf("read %q, %v; want %q and the end of the connection", rest, err, tt.want)
 			}
 			if len(dispatcher) > 0 {
 				t.Error("the request was submitted")
--- a/internal/lineproto/request.go
+++ b/internal/lineproto/request.go
@@ -126,14 +126,14 @@
 // ForwardLine returns the line to send to an endpoint: the received line with the value of d
 // replaced by the time from now until deadline in milliseconds, at least 0.
 func (r *ConnectRequest) ForwardLine(now, deadline time.Time) string {
-	left := max(deadline.Sub(now).Milliseconds(), 0)
-	return r.beforeTimeout + strconv.FormatInt(left, 10) + r.afterTimeout
+	remaining := max(deadline.Sub(now).Milliseconds(), 0)
+	return r.beforeTimeout + strconv.FormatInt(remaining, 10) + r.afterTimeout
 }
 
 // StripResumption replaces the resume token in the line to forward by ResumeWanted, because any
 // holder of a token can present it. The forwarded line still requests a stream with positions.
 func (r *ConnectRequest) StripResumption() {
-	pair, plain := "rs="+r.ResumeToken, "rs="+ResumeWanted
+	pair, tokenless := "rs="+r.ResumeToken, "rs="+ResumeWanted
 	for _, part := range []*string{&r.beforeTimeout, &r.afterTimeout} {
 		// The name=value list is the last field of the line, and each name occurs at most once.
 		start := strings.LastIndexByte(*part, ' ') + 1
@@ -142,7 +142,7 @@
 		}
 		list := strings.Split((*part)[start:], ",")
 		if i := slices.Index(list, pair); i >= 0 {
-			list[i] = plain
+			list[i] = tokenless
 			*part = (*part)[:start] + strings.Join(list, ",")
 		}
 	}
--- a/internal/lineproto/stream_test.go
+++ b/internal/lineproto/stream_test.go
@@ -35,7 +35,7 @@
 			got = p.String()
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: position %q, want %q", name, got, c.want)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		},
 	} {
 		if got := FormatStreamStart(outcome, connectedAt); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/proxy/brokenpath_test.go
+++ b/internal/proxy/brokenpath_test.go
@@ -53,7 +53,7 @@
 			broken.breakWith(errno)
 			got, _ := f.clientReader.ReadString('\n')
 			if got != want {
-				t.Errorf("read %q, want %q", got, want)
+				t.Errorf("the client read %q, want %q", got, want)
 			}
 			f.closeClient(t)
 		})
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -58,7 +58,7 @@
 func (o *fakeObserver) expectOutcome(t *testing.T, want balance.Outcome) {
 	t.Helper()
 	if got := receive(t, o.ended); got != want {
-		t.Errorf("ended as %v, want %v", got, want)
+		t.Errorf("the session ended with outcome %v, want %v", got, want)
 	}
 }
 
@@ -158,7 +158,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing was received")
+		t.Fatal("nothing was received before the timeout")
 	}
 	return v
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -106,7 +106,7 @@
 	state := successor.state
 	if string(state.FromClient) != "hal" || string(state.FromUpstream) != "ha" ||
 		state.PendingSince.IsZero() {
-		t.Errorf("handed over: %q, %q, pending since %v",
+		t.Errorf("the session was handed over with %q, %q, pending since %v",
 			state.FromClient, state.FromUpstream, state.PendingSince)
 	}
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -45,7 +45,7 @@
 			}
 			for i := range 3 { // without a reader, the first write provokes a reset and the next one fails
 				if _, err := fmt.Fprintf(f.upstream, "half a line %d", i); err != nil && upstreamLine == "" {
-					t.Errorf("piece %d: %v", i, err)
+					t.Errorf("write %d to the upstream: %v", i, err)
 				}
 			}
 			f.expectLine(t, f.clientReader, "")   // the end, and no second MOVE
--- a/internal/proxy/resumption.go
+++ b/internal/proxy/resumption.go
@@ -30,9 +30,9 @@
 	done := make(chan struct{})
 	go func() { // ends no later than ctx
 		defer close(done)
-		if text := s.StartLine(ctx, up.line); text != "" && ctx.Err() == nil {
+		if start := s.StartLine(ctx, up.line); start != "" && ctx.Err() == nil {
 			_ = up.upstream.SetWriteDeadline(time.Now().Add(writeTimeout))
-			_, _ = up.upstream.Conn.Write([]byte(text + "\r\n")) // the relay detects a broken connection too
+			_, _ = up.upstream.Conn.Write([]byte(start + "\r\n")) // the relay detects a broken connection too
 		}
 	}()
 	return func() {
@@ -43,13 +43,13 @@
 
 // moveLine returns the MOVE line, with the resume token if there is one.
 func (s *Session) moveLine() string {
-	text := s.codec.Move()
+	line := s.codec.Move()
 	if s.Resumption != nil {
 		if token := s.Token(); token != "" {
-			text += " " + token
+			line += " " + token
 		}
 	}
-	return text
+	return line
 }
 
 // withToken adds the resume token to a MOVE line from the upstream.
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -35,7 +35,7 @@
 	start := time.Now()
 	f.expectLine(t, f.clientReader, "MOVE\r\n")
 	if took := time.Since(start); took < time.Second || took > 7*time.Second {
-		t.Errorf("migrated after %v", took)
+		t.Errorf("the client was migrated after %v", took)
 	}
 	f.expectOutcome(t, balance.Reset)
 	if _, err := f.upstreamReader.ReadByte(); err == nil {
