--- a/internal/bufconn/arrived.go
+++ b/internal/bufconn/arrived.go
@@ -7,9 +7,10 @@
 	"syscall"
 )
 
-// ReadArrived reads what has arrived on a connection, without waiting and whatever the read deadline is. It returns 0
-// and no error if nothing has, and io.EOF if nothing will come any more.
-func ReadArrived(conn net.Conn, buffer []byte) (n int, err error) {
+// ReadAvailable reads the bytes that have already been received on a connection. It does not block
+// and ignores the read deadline. It returns 0 and a nil error if no bytes are available, and io.EOF
+// if the peer has closed its sending side.
+func ReadAvailable(conn net.Conn, buffer []byte) (n int, err error) {
 	err = WithDescriptor(conn, func(fd int) error {
 		for {
 			read, readErr := syscall.Read(fd, buffer)
@@ -30,12 +31,12 @@
 	return n, err
 }
 
-// DiscardArrived reads and discards what has arrived on a connection, and returns the last of it; nil if nothing was
-// there.
-func DiscardArrived(conn net.Conn) (last []byte) {
+// DiscardAvailable reads and discards the bytes that have already been received on a connection, up
+// to fastDiscardBytes. It returns the bytes of the last successful read, or nil if there were none.
+func DiscardAvailable(conn net.Conn) (last []byte) {
 	buffer := make([]byte, BufferSize)
 	for range fastDiscardBytes / BufferSize {
-		n, err := ReadArrived(conn, buffer)
+		n, err := ReadAvailable(conn, buffer)
 		if n == 0 || err != nil {
 			break
 		}
