--- a/balance/actions.go
+++ b/balance/actions.go
@@ -21,11 +21,11 @@
 // The reasons for which a request is given up.
 const (
 	NotAdmitted       RejectReason = iota // admission was closed for as long as it may wait
-	OutOfTime                             // its time is over
+	DeadlineExceeded                      // its time is over
 	ListExpired                           // the server list may not be relied on
 	NoServer                              // no ready server may take it
-	AttemptsUsedUp                        // it has had all its attempts
-	RepeatHarmful                         // it may have run, and must not be repeated
+	AttemptsExhausted                     // it has had all its attempts
+	RetryUnsafe                           // it may have run, and must not be repeated
 	OverQuota                             // the fleet's quotas do not allow it
 	ConstraintFull                        // no server within its constraint has capacity
 	RejectReasonCount                     // how many reasons there are
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -48,7 +48,7 @@
 	b.setPhase(r, queued)
 	r.round.reset()
 	if b.now >= r.answerDeadline {
-		b.finish(r, OutOfTime)
+		b.finish(r, DeadlineExceeded)
 		return
 	}
 	if reason, unplaceable := b.isUnplaceable(r); unplaceable {
@@ -75,7 +75,7 @@
 func (b *Balancer) isUnplaceable(r *request) (reason RejectReason, yes bool) {
 	switch {
 	case r.attemptCount >= b.settings.Limits.MaxAttempts:
-		return AttemptsUsedUp, true
+		return AttemptsExhausted, true
 	case b.isListExpired():
 		return ListExpired, true
 	}
@@ -115,7 +115,7 @@
 		r := a.queue[last]
 		a.queue = a.queue[:last]
 		if b.now >= r.answerDeadline {
-			b.finish(r, OutOfTime)
+			b.finish(r, DeadlineExceeded)
 			continue
 		}
 		b.setPhase(r, drawing)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -54,7 +54,7 @@
 	spread := b.jitter(min(b.othersAtService()*subscribeSpacing, maxSubscribeBackoff)/2, 1)
 	pause := max(spread, b.subscription.nextCallAt-b.now)
 	if !b.subscription.active {
-		if failure == CallWaited {
+		if failure == CallQueueTimeout {
 			b.subscription.waitedCalls++
 		}
 		pause = b.subscribeBackoff(failure)
@@ -77,7 +77,7 @@
 // subscribeBackoff is the pause after a call that has failed. A call that waited in vain may have been
 // alone in that; from the second one on the service is crowded.
 func (b *Balancer) subscribeBackoff(failure ListFailure) time.Duration {
-	if failure == CallWaited && b.subscription.waitedCalls > 1 {
+	if failure == CallQueueTimeout && b.subscription.waitedCalls > 1 {
 		crowd := b.fleetBackoff(crowdedSpacing, maxCrowdedBackoff)
 		return b.jitter(crowd*9/8, 1.0/3) // 3/4 of it to 3/2
 	}
--- a/balance/events.go
+++ b/balance/events.go
@@ -78,9 +78,9 @@
 
 // The ways in which a call fails.
 const (
-	CallFailed   ListFailure = iota // it says nothing of how busy the list service is
-	CallRejected                    // the list service rejected it at once
-	CallWaited                      // the list service let it wait, and then had no time for it
+	CallFailed       ListFailure = iota // it says nothing of how busy the list service is
+	CallRejected                        // the list service rejected it at once
+	CallQueueTimeout                    // the list service let it wait, and then had no time for it
 )
 
 // ListLease says until when the server list may be relied on. It replaces an earlier one; without one the
--- a/balance/listlease_test.go
+++ b/balance/listlease_test.go
@@ -108,10 +108,10 @@
 		{3, CallRejected, 700 * ms, 1260 * ms},
 		{300, CallRejected, 1400 * ms, 2400 * ms},
 		{900, CallRejected, 1400 * ms, 2400 * ms},
-		{3, CallWaited, 740 * ms, 1510 * ms},
-		{100, CallWaited, 1990 * ms, 4010 * ms},
-		{300, CallWaited, 5990 * ms, 12010 * ms},
-		{900, CallWaited, 17990 * ms, 36010 * ms},
+		{3, CallQueueTimeout, 740 * ms, 1510 * ms},
+		{100, CallQueueTimeout, 1990 * ms, 4010 * ms},
+		{300, CallQueueTimeout, 5990 * ms, 12010 * ms},
+		{900, CallQueueTimeout, 17990 * ms, 36010 * ms},
 	}
 	for _, tt := range tests {
 		settings := testSettings()
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -121,7 +121,7 @@
 		}) == lifecycle.None
 	}
 	if !mayRetry {
-		b.finish(r, RepeatHarmful)
+		b.finish(r, RetryUnsafe)
 		return
 	}
 	if b.hasLease() && b.quota.retryBudget < 1 {
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -93,7 +93,7 @@
 func (b *Balancer) resumeDrawing(r *request, s *server, answered bool) {
 	switch {
 	case b.now >= r.answerDeadline: // results that keep coming must not carry it past its time
-		b.finish(r, OutOfTime)
+		b.finish(r, DeadlineExceeded)
 	case r.round.tryingAffinity:
 		b.decideAffinityServer(r, s, answered)
 	case !answered || !b.considerDraw(r, s):
--- a/internal/discovery/callerror.go
+++ b/internal/discovery/callerror.go
@@ -39,7 +39,7 @@
 func failureOf(call listlease.Call) balance.ListFailure {
 	switch {
 	case call.WaitedInVain():
-		return balance.CallWaited
+		return balance.CallQueueTimeout
 	case call.Outcome == listlease.Unavailable:
 		return balance.CallRejected
 	}
