--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,7 +1,7 @@
 package balance
 
-// Which request draws next, and which is answered at once because it can't be served? Every request
-// draws as it comes; when the fleet is congested, the newest go first.
+// Admission: which request draws next, and which one is answered at once because it cannot be served. A
+// request draws on arrival; under congestion, requests queue and the newest is admitted first.
 
 import (
 	"cmp"
@@ -10,29 +10,29 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause that answers congestion: from a few round trips to what
-	// a waiting client bears.
+	// minBackoff and maxBackoff bound the pause in admission after a sign of congestion: from a few round
+	// trips to the longest pause that is acceptable to a waiting client.
 	minBackoff, maxBackoff = 50 * time.Millisecond, 2 * time.Second
-	// maxWindow is a window that holds nothing up.
+	// maxWindow is a window so large that it delays no request.
 	maxWindow = 1000.0
-	// failureRateSamples is about how many of the latest attempts the failure rate is taken from.
+	// failureRateSamples is the approximate number of latest attempts that the failure rate averages.
 	failureRateSamples = 8
 )
 
-// handleRequest lets a request wait for admission, unless the fleet's quota lease sheds it.
+// handleRequest queues a request for admission, unless the quota lease sheds it.
 func (b *Balancer) handleRequest(q Request) {
 	r := b.trackRequest(q)
-	// The answer must be out before the deadline; two ticks cover rounding and a batch that comes late.
+	// The answer must be sent before the deadline. Two ticks allow for rounding and for a late event batch.
 	r.answerDeadline = q.Deadline - 2*b.settings.Tick
 	isFirstArrival := !q.Reconnecting && !q.ClientRetry
-	if isFirstArrival && b.hasLease() && b.quota.shedFraction > 0 && b.rng.Float64() < b.quota.shedFraction {
-		b.finish(r, OverQuota) // the fleet can't carry it
+	if isFirstArrival && b.hasQuota() && b.quota.shedFraction > 0 && b.rng.Float64() < b.quota.shedFraction {
+		b.finish(r, OverQuota) // the fleet's capacity does not suffice for it
 		return
 	}
 	b.enqueue(r)
 }
 
-// adoptConnection takes over a connection that already runs.
+// adoptConnection takes over a connection that is already open.
 func (b *Balancer) adoptConnection(e OpenConnection) {
 	r := b.trackRequest(e.Request)
 	r.attemptCount = 1
@@ -43,7 +43,7 @@
 	}
 }
 
-// enqueue lets r wait for admission, which comes at once unless there is congestion.
+// enqueue queues r for admission, which follows at once unless there is congestion.
 func (b *Balancer) enqueue(r *request) {
 	b.setPhase(r, queued)
 	r.round.reset()
@@ -62,30 +62,31 @@
 	}
 }
 
-// queueTimeout is how long r waits for admission: its latency objective, or else its deadline. The
-// newest go first, so a request that was not admitted by then never would be: it is answered at once,
-// with a Retry-After, and not when its client is about to give up.
+// queueTimeout is the time that r may wait for admission: its latency objective, or its deadline if it has
+// none. The newest request is admitted first, so a request that has not been admitted by then never would
+// be. It is answered at that time, with a Retry-After, rather than shortly before its client gives up.
 func (b *Balancer) queueTimeout(r *request) time.Duration {
 	return cmp.Or(r.class.LatencyObjective, r.class.Deadline)
 }
 
-// isUnplaceable reports whether r has no attempt left, the list may not be relied on, or r may be sent to
-// no ready server, and which. Then it is answered at once: to wait for another server would only keep its
-// client from asking again. Before the first list servers may still come, unless r's constraint allows none.
-func (b *Balancer) isUnplaceable(r *request) (reason RejectReason, yes bool) {
+// isUnplaceable reports whether r cannot be placed, and why: it has no attempt left, the list lease has
+// expired, or no ready server is allowed for it. Such a request is answered at once, since waiting for
+// another server would only delay the client's retry. Before the first list has been received, servers may
+// still appear, so the request waits unless its constraint allows no zone at all.
+func (b *Balancer) isUnplaceable(r *request) (reason RejectReason, unplaceable bool) {
 	switch {
 	case r.attemptCount >= b.settings.Limits.MaxAttempts:
 		return AttemptsExhausted, true
 	case b.isListExpired():
 		return ListExpired, true
 	}
-	noneIsAllowed := (b.subscription.listReceived || r.Constraint.allowsNoZone()) &&
+	noServerAllowed := (b.subscription.listReceived || r.Constraint.allowsNoZone()) &&
 		!slices.ContainsFunc(b.servers.ready, func(s *server) bool { return b.isAllowed(r, s) })
-	return NoServer, noneIsAllowed
+	return NoServer, noServerAllowed
 }
 
-// finishUnplaceable answers the requests whose last possible server has left, or that have made more
-// attempts than are allowed by now.
+// finishUnplaceable answers the waiting requests that have become unplaceable, for instance because the last
+// server allowed for them has left or because the maximum number of attempts was lowered.
 func (b *Balancer) finishUnplaceable() {
 	var waiting []*request
 	for _, r := range b.requests.bySequence {
@@ -93,10 +94,10 @@
 			waiting = append(waiting, r)
 		}
 	}
-	// Not in the map's order.
+	// The iteration order of a map is random; requests are answered in the order of their arrival.
 	slices.SortFunc(waiting, func(r, o *request) int { return cmp.Compare(r.sequence, o.sequence) })
 	for _, r := range waiting {
-		if !r.awaitsPlacement() { // the end of another has brought its own
+		if !r.awaitsPlacement() { // already answered, as a consequence of an earlier one
 			continue
 		}
 		if reason, unplaceable := b.isUnplaceable(r); unplaceable {
@@ -105,9 +106,9 @@
 	}
 }
 
-// admitQueued lets requests draw while the window has capacity, the newest first: it still has the time
-// to be set up. In order of arrival every request would be admitted when its time is almost up, and all
-// set-ups would be in vain.
+// admitQueued lets queued requests draw while the window has room. The newest goes first, as it has the most
+// time left for its connection set-up. In order of arrival, under lasting congestion, every request would be
+// admitted shortly before its deadline, and no set-up would complete in time.
 func (b *Balancer) admitQueued() {
 	a := &b.admission
 	for len(a.queue) > 0 && b.now >= a.backoffEndsAt && float64(a.inSetup) < a.window {
@@ -123,9 +124,9 @@
 	}
 }
 
-// reduceWindow answers a sign that the fleet is congested rather than one server faulty: all of a
-// round's draws were full, or most attempts fail wherever they go. Then more attempts only add to it,
-// so fewer are made at a time, after a pause that doubles while the signs go on.
+// reduceWindow reacts to a sign that the fleet is congested, rather than a single server faulty: all draws of
+// a round were full, or most attempts fail whatever their server. More attempts would add to the congestion,
+// so fewer are made concurrently, after a pause that doubles with each further sign.
 func (b *Balancer) reduceWindow() {
 	a := &b.admission
 	if b.now < a.backoffEndsAt {
@@ -139,14 +140,15 @@
 	b.pauseAdmission()
 }
 
-// pauseAdmission admits no request for the time of the backoff.
+// pauseAdmission admits no request until the backoff, with jitter, has passed.
 func (b *Balancer) pauseAdmission() {
 	pause := b.jitter(b.admission.backoff, 0.5)
 	b.admission.backoffEndsAt = b.now + pause
 	b.emit(SetTimer{Delay: pause + b.settings.Tick})
 }
 
-// growWindow widens the window again, step by step, with each connection that is established.
+// growWindow widens the window by one and lowers the failure rate and the backoff, after a connection has
+// been established.
 func (b *Balancer) growWindow() {
 	a := &b.admission
 	a.failureRate -= a.failureRate / failureRateSamples
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -1,17 +1,18 @@
 package balance
 
-// Which server takes a member of a group? Where every server that holds any member of a group pays for
-// it, one that does so already, or that all instances would choose.
+// Group affinity: which server takes a member of a group. If connections of a group share work, each server
+// that holds a member bears the cost of the whole group. A member is therefore placed on a server that
+// already holds the group, or on one that all instances derive from the group's name.
 
 import "slices"
 
-// maxRingServers is how many servers the ring names for a group. The largest groups fill more than one
-// server, and a member that finds none of them costs the fleet a group's load.
+// maxRingServers is the number of servers on the ring that are candidates for a group. The largest groups
+// fill more than one server, and a member placed on none of the candidates adds a group's load to the fleet.
 const maxRingServers = 6
 
-// placeWithAffinity ends the drawing at s. Where connections of a group share work, one of the group's
-// servers goes before s if it is not above maxLowLoad, or at no higher level than s: they are probed
-// one after the other.
+// placeWithAffinity places r after its draws have chosen s. If connections of a group share work, a server of
+// r's group is preferred to s, provided that its load is below maxLowLoad or its level is not above that of
+// s. The group's servers are probed one after the other.
 func (b *Balancer) placeWithAffinity(r *request, s *server) {
 	if !b.settings.Connections.GroupAffinity || r.Group == "" {
 		b.sendAttempt(r, s)
@@ -23,8 +24,9 @@
 	b.tryNextAffinityServer(r)
 }
 
-// affinityServers lists the servers for r's group: where this instance placed its latest member, then
-// those that all instances agree on, which follow the group's hash on the ring.
+// affinityServers lists the candidate servers for r's group: first the server of the group's latest placement
+// by this instance, then the servers that follow the group's hash on the ring, which are the same for all
+// instances.
 func (b *Balancer) affinityServers(r *request) []*server {
 	servers := r.round.affinityServers
 	if g := b.requests.groups[r.Group]; g != nil {
@@ -32,8 +34,8 @@
 	}
 	ring := b.servers.ring
 	start := b.servers.ringIndex(ringHash(r.Group))
-	longest := len(servers) + maxRingServers
-	for i := 0; i < len(ring) && len(servers) < longest; i++ {
+	limit := len(servers) + maxRingServers
+	for i := 0; i < len(ring) && len(servers) < limit; i++ {
 		if s := ring[(start+i)%len(ring)]; b.constraintShare(r, s) > 0 {
 			servers = append(servers, s)
 		}
@@ -41,8 +43,8 @@
 	return servers
 }
 
-// tryNextAffinityServer probes the next of the group's servers, or sends r where its draws have
-// decided.
+// tryNextAffinityServer probes the next candidate for r's group. If there is none left, it sends r to the
+// server that the draws have chosen.
 func (b *Balancer) tryNextAffinityServer(r *request) {
 	for len(r.round.affinityServers) > 0 {
 		s := r.round.affinityServers[0]
@@ -54,11 +56,11 @@
 			continue
 		}
 		wasDrawn := slices.Contains(r.round.servers, s)
-		if wasDrawn && (s.probeInFlight || b.faultShare(s) < 1) { // it did not answer
+		if wasDrawn && (s.probeInFlight || b.faultShare(s) < 1) { // it did not answer its probe
 			continue
 		}
 		if wasDrawn || !b.canProbe() {
-			b.decideAffinityServer(r, s, true)
+			b.evaluateAffinityServer(r, s, true)
 			return
 		}
 		r.round.servers = append(r.round.servers, s)
@@ -68,8 +70,8 @@
 	b.sendAttempt(r, r.round.best)
 }
 
-// decideAffinityServer decides whether r goes to s, one of its group's servers.
-func (b *Balancer) decideAffinityServer(r *request, s *server, answered bool) {
+// evaluateAffinityServer sends r to s, a candidate for its group, or goes on to the next candidate.
+func (b *Balancer) evaluateAffinityServer(r *request, s *server, answered bool) {
 	load := b.estimatedLoad(s)
 	isLow := load < maxLowLoad || b.level(load) <= b.level(r.round.bestLoad)
 	if answered && load >= 0 && b.hasCapacity(r, s) && isLow {
--- a/balance/constraints.go
+++ b/balance/constraints.go
@@ -1,10 +1,10 @@
 package balance
 
-// In which zones may a request be drawn? In all, except for what the quota lease takes away, and then
-// the request's own constraint. Neither gives back what idempotency, drains or the limits of cold
-// servers have taken.
+// Zone limits: how large a share of its draws each server keeps. The quota lease's limit on the zone and the
+// request's own constraint are applied one after the other, and each can only reduce the share. Neither
+// permits what idempotency, drains or the limits on cold servers forbid.
 
-// constraintShare is the part of its draws that s keeps by its zone and by r's constraint.
+// constraintShare is the share of its draws for r that s keeps under its zone's limit and r's constraint.
 func (b *Balancer) constraintShare(r *request, s *server) float64 {
 	share := b.zoneShare(s)
 	if r.Constraint != nil {
@@ -13,7 +13,7 @@
 	return share
 }
 
-// zoneShare is the part of its draws that s keeps by its zone.
+// zoneShare is the share of its draws that s keeps under its zone's limit.
 func (b *Balancer) zoneShare(s *server) float64 {
 	if z := b.zoneLimitOf(s); z != nil {
 		return z.share
@@ -21,13 +21,13 @@
 	return 1
 }
 
-// zoneHasTokens reports whether the zone of s has a token left, if tokens limit it.
+// zoneHasTokens reports whether the zone of s has a token left; true if the zone is not limited by tokens.
 func (b *Balancer) zoneHasTokens(s *server) bool {
 	z := b.zoneLimitOf(s)
 	return z == nil || z.tokens < 0 || z.tokensUsed < z.tokens && b.now < b.quota.tokensExpireAt
 }
 
-// shareOf is the part of a zone's draws that the constraint keeps.
+// shareOf is the share of a zone's draws that the constraint keeps.
 func (c *ZoneConstraint) shareOf(zone string) float64 {
 	for _, z := range c.Zones {
 		if z.Zone == zone {
@@ -37,8 +37,9 @@
 	return clampShare(c.DefaultShare)
 }
 
-// drawWeighted draws where most uniform draws are void: from all servers at once, each by the share
-// that it keeps. One of many zones is missed too often by repeated draws.
+// drawWeighted draws once from all servers at the same time, each weighted by its share. It is used where
+// most uniform draws are void: with many zones of which only one is allowed, repeated uniform draws too often
+// miss it. It returns nil if no server is allowed.
 func (b *Balancer) drawWeighted(r *request) (drawn *server) {
 	sum := 0.0
 	for _, s := range b.servers.ready {
--- a/balance/draw.go
+++ b/balance/draw.go
@@ -1,9 +1,9 @@
 package balance
 
-// Which server takes a request? The mechanism is P^(1,1,d,d,...) of Czumaj and Stemann, Randomized
+// Draws: which server takes a request. The mechanism is P^(1,1,d,d,...) of Czumaj and Stemann, Randomized
 // Allocation Processes (2001), section 1.1 and Theorem 5: ready servers are drawn uniformly, with
-// replacement, one at a time; a draw at level 0 or 1 decides at once, else the least loaded of d draws
-// does. Every exception is listed with its condition in docs/design.md.
+// replacement, one at a time. A draw at level 0 or 1 is final; otherwise the request goes to the least loaded
+// of d draws. docs/design.md lists every exception and its condition.
 
 import (
 	"math"
@@ -12,25 +12,25 @@
 )
 
 const (
-	// trials is d. The paper needs d >= 2; beyond 3 the least of the draws is rather the luckiest
-	// reading than the least loaded server.
+	// trials is d. The paper requires d >= 2. Beyond 3, the least of the readings depends more on chance
+	// than on which server is the least loaded.
 	trials = 3
-	// minLowLoad and maxLowLoad bound the load below which a server passes as low. Under the first
-	// there is nothing to even out; a server above the second would be overloaded by a few more
-	// connections, whatever the mean load of the fleet is.
+	// minLowLoad and maxLowLoad bound the load up to which a server counts as low (level 0 or 1). Below
+	// minLowLoad there is nothing to balance; a server above maxLowLoad could be overloaded by a few more
+	// connections, whatever the mean load of the fleet.
 	minLowLoad, maxLowLoad = 0.3, 0.7
-	// fullLoad is the load at which one more connection may harm all of a server's: served well up to
-	// its capacity, it serves nobody in time beyond, and loads change after placement. A round of draws
-	// ends in a wait rather than there.
+	// fullLoad is the load from which a server counts as full: one more connection may harm all of its
+	// connections. A server serves well up to its capacity, but none of its clients in time beyond it, and
+	// loads still change after placement. A round of draws that finds only full servers ends in a wait.
 	fullLoad = 0.85
-	// maxVoidDraws bounds the draws in a row that a server's share may make void.
+	// maxVoidDraws is the maximum number of consecutive void draws.
 	maxVoidDraws = 16
-	// faultDecay is how long an error or a failed connection counts against a server: longer than one
-	// retry, shorter than most faults.
+	// faultDecay is the time constant with which errors and failed connections stop counting against a
+	// server: longer than one retry, shorter than most faults.
 	faultDecay = 5 * time.Second
 )
 
-// draw goes on drawing for r until it has to wait for a probe or a server is decided on.
+// draw draws servers for r until r has to wait for a probe or its round of draws is decided.
 func (b *Balancer) draw(r *request) {
 	for r.round.draws < trials {
 		s := b.drawServer(r)
@@ -39,31 +39,32 @@
 		}
 		r.round.draws++
 		if slices.Contains(r.round.servers, s) {
-			continue // drawn with replacement: its answer is known
+			continue // drawn with replacement: its load has already been considered
 		}
 		r.round.servers = append(r.round.servers, s)
 		if b.canProbe() {
 			b.awaitProbe(r, s)
 			return
 		}
-		if b.considerDraw(r, s) {
+		if b.evaluateDraw(r, s) {
 			return
 		}
 	}
 	b.finishRound(r)
 }
 
-// drawServer draws a server uniformly from the ready ones; nil if all draws were void. Draws of servers
-// where r is not allowed are void, and so are some draws of cold and faulty servers and of limited
-// zones: each instance thins by itself, so that together they keep to a cold server's share. As void
-// draws are repeated, a fleet that is mostly cold or faulty still serves.
+// drawServer draws a server uniformly from the ready ones; nil if all draws were void. Draws of servers that
+// are not allowed for r are void, and so is a random part of the draws of cold servers, faulty servers and
+// servers in limited zones. Each instance discards draws independently, so that all instances together keep
+// to a cold server's share. Void draws are repeated, so a fleet of mostly cold or faulty servers still
+// serves.
 func (b *Balancer) drawServer(r *request) *server {
 	if len(b.servers.ready) == 0 {
 		return nil
 	}
 	from := b.drawSubset()
 	s := b.drawFrom(from, r)
-	if s == nil && from != b.wholeFleet() { // the subset has none for r
+	if s == nil && from != b.wholeFleet() { // no server of the subset is allowed for r
 		s = b.drawFrom(b.wholeFleet(), r)
 	}
 	if s != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// drawFrom draws a server of a subset; nil if maxVoidDraws draws in a row were void.
+// drawFrom draws a server from a subset; nil if maxVoidDraws consecutive draws were void.
 func (b *Balancer) drawFrom(from subset, r *request) *server {
 	for range maxVoidDraws {
 		s := b.drawUniformly(from)
@@ -89,35 +90,36 @@
 	return nil
 }
 
-// drawShare is the part of its draws for r that a server keeps where r is allowed: by what it can bear,
+// drawShare is the share of its draws for r that a server allowed for r keeps, given its remaining capacity,
 // its faults, its zone and r's constraint.
 func (b *Balancer) drawShare(r *request, s *server) float64 {
 	if !b.hasCapacity(r, s) {
 		return 0
 	}
 	share := b.faultShare(s) * b.constraintShare(r, s)
-	if capacity := b.capacityShare(s); capacity < 1 && !b.hasLease() { // else its tokens are the limit
+	if capacity := b.capacityShare(s); capacity < 1 && !b.hasQuota() { // a quota limits it by tokens
 		share *= min(capacity, b.slowStartDrawShare(capacity))
 	}
 	return share
 }
 
-// faultShare is the part of its draws that faults leave to s. They count against the server that has
-// the fewest: where all have some, none is better left out.
+// faultShare is the share of its draws that s keeps in view of its recent faults: (1 + the fewest faults of
+// any ready server) over (1 + the faults of s). The comparison is relative because leaving servers out gains
+// nothing if all of them have faults.
 func (b *Balancer) faultShare(s *server) float64 {
 	return min((1+b.fleet.fewestFaults)/(1+s.recentFaults.value(b.now)), 1)
 }
 
-// level cuts a load into whole levels. The unit is half of the fleet's mean load, within bounds, so
-// that levels 0 and 1 mean not above the mean.
+// level converts a load to a whole level. One level is half of the fleet's mean load, which is first bounded
+// by minLowLoad and maxLowLoad, so levels 0 and 1 are the loads below the bounded mean.
 func (b *Balancer) level(load float64) int {
 	unit := min(max(b.fleet.meanLoad, minLowLoad), maxLowLoad) / 2
 	return int(load / unit)
 }
 
-// considerDraw weighs a drawn server, and reports whether the draw decides and r is placed, which is so
-// at level 0 or 1.
-func (b *Balancer) considerDraw(r *request, s *server) bool {
+// evaluateDraw takes a drawn server into account and reports whether the draw was final, so that r is placed:
+// that is the case at levels 0 and 1.
+func (b *Balancer) evaluateDraw(r *request, s *server) bool {
 	load := b.estimatedLoad(s)
 	if load < 0 || !b.hasCapacity(r, s) {
 		return false
@@ -132,15 +134,15 @@
 	return true
 }
 
-// finishRound ends a round of draws: the least loaded of them takes r, unless even that one is full.
+// finishRound ends a round of draws: the least loaded of them takes r, unless that one is full too.
 func (b *Balancer) finishRound(r *request) {
 	s := r.round.best
 	if s == nil {
-		s, r.round.bestLoad = b.leastReported(r)
+		s, r.round.bestLoad = b.leastLoadedByReport(r)
 	}
 	if s == nil || !s.isReady() || r.round.bestLoad >= fullLoad {
 		if r.Constraint != nil && b.subscription.listReceived {
-			b.finish(r, ConstraintFull) // others may go elsewhere: it says nothing of the fleet
+			b.finish(r, ConstraintFull) // other servers may have capacity: no sign of congestion
 			return
 		}
 		b.reduceWindow()
@@ -150,10 +152,10 @@
 	b.placeWithAffinity(r, s)
 }
 
-// leastReported takes the place of draws of which none was answered: of the servers drawn, it is the
-// one with the least load by its last report. One that never reported passes as just not full: probes
-// may go unanswered while servers work.
-func (b *Balancer) leastReported(r *request) (*server, float64) {
+// leastLoadedByReport replaces the result of a round in which no probe was answered. It returns, of the
+// servers drawn, the one with the least load by its last report, and that load. A server that has never
+// reported counts as loaded to maxLowLoad, which is not full: probes may go unanswered although servers work.
+func (b *Balancer) leastLoadedByReport(r *request) (*server, float64) {
 	var best *server
 	least := math.Inf(1)
 	for _, s := range r.round.servers {
--- a/balance/emit.go
+++ b/balance/emit.go
@@ -1,6 +1,6 @@
 package balance
 
-// How actions leave: timers, log lines and random spread. Nothing is decided here.
+// Emission of actions: timers, log entries and jitter. This file contains no decision logic.
 
 import (
 	"fmt"
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// logInterval is the least time between two log lines, so that a storm leaves the log readable.
+// logInterval is the minimum time between two log entries; it keeps the log readable during an event storm.
 const logInterval = 10 * time.Second
 
-// emit appends an action to those that answer the event.
+// emit appends an action to the result of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// setRequestTimer asks to look at r again at the given time.
+// setRequestTimer sets the timer of r to the given time.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	// Timers count in microseconds: one that came a fraction early would be taken for a stale
-	// one, and r would wait for good.
+	// Timers have a resolution of one microsecond. A timer that fired a fraction early would be taken for
+	// a stale one, and r would wait indefinitely.
 	delay := max(at-b.now, b.settings.Tick).Truncate(time.Microsecond)
 	r.timerAt = b.now + delay
 	b.emit(SetTimer{Delay: delay, Token: r.sequence})
 }
 
-// jitter spreads d by up to the given share either way.
+// jitter returns a random duration between d*(1-share) and d*(1+share).
 func (b *Balancer) jitter(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * (1 + share*(2*b.rng.Float64()-1)))
 }
 
-// logCongestion logs that admission is paused, at most once in each logInterval.
+// logCongestion logs that admission is paused, at most once per logInterval.
 func (b *Balancer) logCongestion() {
-	if !b.claimLogLine() {
+	if !b.allowLogEntry() {
 		return
 	}
 	b.emit(Log{
@@ -44,9 +44,9 @@
 	})
 }
 
-// logRebalance logs that connections are migrated away from s, at most once in each logInterval.
+// logRebalance logs that connections are migrated away from s, at most once per logInterval.
 func (b *Balancer) logRebalance(s *server) {
-	if !b.claimLogLine() {
+	if !b.allowLogEntry() {
 		return
 	}
 	b.emit(Log{
@@ -62,11 +62,11 @@
 	})
 }
 
-// twoDecimals rounds a value as people read it.
+// twoDecimals rounds x to two decimals for display.
 func twoDecimals(x float64) float64 { return math.Round(x*100) / 100 }
 
-// claimLogLine reports whether a line may be logged now, and then starts the next logInterval.
-func (b *Balancer) claimLogLine() bool {
+// allowLogEntry reports whether an entry may be logged now, and if so starts the next logInterval.
+func (b *Balancer) allowLogEntry() bool {
 	if b.now < b.nextLogAt {
 		return false
 	}
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,6 +1,6 @@
 package balance
 
-// Which servers are there, and when is their list subscribed to? docs/notes/lists.md derives the times.
+// The server list and the subscription to it. docs/notes/lists.md derives the times.
 
 import (
 	"maps"
@@ -9,25 +9,27 @@
 )
 
 const (
-	// minSubscribeBackoff is the pause after a first call that failed; each further one is four times
-	// as long, and none over maxSubscribeBackoff.
+	// minSubscribeBackoff is the backoff after the first failed call. It quadruples with each further
+	// failure, up to maxSubscribeBackoff.
 	minSubscribeBackoff, maxSubscribeBackoff = time.Second / 8, time.Second
-	// subscribeSpacing is what one of the calls of all instances at one moment takes.
+	// subscribeSpacing is the time that the list service takes per call if all instances call at once.
 	subscribeSpacing = time.Second / 300
-	// busySpacing is the same of a list service that has no time for its calls, and maxBusyBackoff the
-	// longest pause for it. Called sooner by all instances it is kept busy with calls that have waited too
-	// long: docs/incidents/2026-12-02-stale-endpoint-list.md.
+	// busySpacing is the time per call that is allowed for a list service that rejects calls because it is
+	// busy, and maxBusyBackoff is the longest backoff from it. If all instances called sooner, the service
+	// would spend its time on calls that have already waited too long:
+	// docs/incidents/2026-12-02-stale-endpoint-list.md.
 	busySpacing    = 2 * subscribeSpacing
 	maxBusyBackoff = 1900 * time.Millisecond
-	// crowdedSpacing is the same of a list service that lets call after call wait in vain: the slowest one
-	// known needs 8 s to serve 300 instances. A pause of that length lets it get through its queue, and the
-	// calls after it are spread over as long again, which is as fast as it can serve them.
-	crowdedSpacing    = 8 * subscribeSpacing
-	maxCrowdedBackoff = 30 * time.Second
+	// overloadedSpacing is the time per call that is allowed for a list service that repeatedly does not
+	// serve queued calls in time, and maxOverloadedBackoff is the longest backoff period. The slowest service
+	// known takes 8 s to serve 300 instances. A pause of that length lets it work off its queue; the calls
+	// after the pause are spread over the same length again, which is as fast as it can serve them.
+	overloadedSpacing    = 8 * subscribeSpacing
+	maxOverloadedBackoff = 30 * time.Second
 )
 
-// startSubscription treats a start, which may be that of all instances, as a subscription that has
-// ended, so that the first calls are spread.
+// startSubscription treats a start as a failed call, so that the first calls of instances that start at the
+// same time are spread.
 func (b *Balancer) startSubscription() {
 	if b.settings.Instances > 1 && !b.settings.SubscribeImmediately {
 		b.subscription.active = true
@@ -36,26 +38,28 @@
 	b.subscribeIfDue()
 }
 
+// subscribeIfDue calls the list service if there is no subscription and the backoff has passed.
+
 func (b *Balancer) subscribeIfDue() {
 	if !b.settings.SubscribeRequired || b.subscription.active || b.now < b.subscription.nextCallAt {
 		return
 	}
-	// Should the answer never come.
+	// Repeats the call if it gets no answer.
 	b.subscription.nextCallAt = b.now + max(b.settings.SubscribeTimeout, time.Second)
 	b.emit(Subscribe{})
 }
 
-// scheduleSubscribe sets the time of the next call, as a call or the subscription has failed. A
-// subscription that has ended is no list service that is down: the next call follows at once, unless
-// the subscription had just begun. The backoff is for calls. However long they have failed, two fit
-// into the time after which all that a list has to report counts as reported once it is back, unless the
-// calls wait in vain.
+// scheduleSubscribe schedules the next call after a call has failed or the subscription has ended. The end of
+// a subscription does not mean that the list service is down: the next call follows at once, apart from
+// jitter, or maxSubscribeBackoff after the subscription began if it was shorter than that. Failed calls back
+// off. The backoff is bounded: once the service is back, two calls fit into the time after which all changes
+// to the list count as reported, however long calls have failed. This does not hold for queue timeouts.
 func (b *Balancer) scheduleSubscribe(failure ListFailure) {
-	spread := b.jitter(min(b.othersAtService()*subscribeSpacing, maxSubscribeBackoff)/2, 1)
+	spread := b.jitter(min(b.otherSubscribers()*subscribeSpacing, maxSubscribeBackoff)/2, 1)
 	pause := max(spread, b.subscription.nextCallAt-b.now)
 	if !b.subscription.active {
 		if failure == CallQueueTimeout {
-			b.subscription.waitedCalls++
+			b.subscription.queueTimeouts++
 		}
 		pause = b.subscribeBackoff(failure)
 		b.subscription.failures++
@@ -65,21 +69,21 @@
 	b.emit(SetTimer{Delay: pause + b.settings.Tick})
 }
 
-// othersAtService is how many other instances call the same list service. One that tells changes by itself
-// is this instance's own.
-func (b *Balancer) othersAtService() time.Duration {
+// otherSubscribers is the number of other instances that call the same list service; 0 if the service pushes
+// changes, as this instance then has a list service of its own.
+func (b *Balancer) otherSubscribers() time.Duration {
 	if b.settings.ListPushed {
 		return 0
 	}
 	return time.Duration(b.settings.Instances - 1)
 }
 
-// subscribeBackoff is the pause after a call that has failed. A call that waited in vain may have been
-// alone in that; from the second one on the service is crowded.
+// subscribeBackoff is the backoff after a failed call. A single queue timeout may be an isolated case; from
+// the second one on the list service counts as overloaded.
 func (b *Balancer) subscribeBackoff(failure ListFailure) time.Duration {
-	if failure == CallQueueTimeout && b.subscription.waitedCalls > 1 {
-		crowd := b.fleetBackoff(crowdedSpacing, maxCrowdedBackoff)
-		return b.jitter(crowd*9/8, 1.0/3) // 3/4 of it to 3/2
+	if failure == CallQueueTimeout && b.subscription.queueTimeouts > 1 {
+		period := b.fleetBackoff(overloadedSpacing, maxOverloadedBackoff)
+		return b.jitter(period*9/8, 1.0/3) // from 3/4 to 3/2 of the period
 	}
 	longest := maxSubscribeBackoff
 	if failure == CallRejected {
@@ -88,11 +92,12 @@
 	return b.jitter(min(minSubscribeBackoff<<min(2*b.subscription.failures, 16), longest), 0.25)
 }
 
-// fleetBackoff is the time in which all instances call, spaced so, and within bounds.
+// fleetBackoff is the time in which all instances make one call each at the given spacing, within bounds.
 func (b *Balancer) fleetBackoff(spacing, longest time.Duration) time.Duration {
 	return min(max(time.Duration(b.settings.Instances)*spacing, maxSubscribeBackoff), longest)
 }
 
+// handleListUpdate applies a change of the server list, or the failure of a call or subscription.
 func (b *Balancer) handleListUpdate(e ListUpdate) {
 	if e.Kind == ListFailed {
 		b.scheduleSubscribe(e.Failure)
@@ -100,7 +105,7 @@
 	}
 	if e.Kind != ListCached && !b.subscription.active {
 		b.subscription.active = true
-		b.subscription.failures, b.subscription.waitedCalls = 0, 0
+		b.subscription.failures, b.subscription.queueTimeouts = 0, 0
 		b.subscription.nextCallAt = b.now + maxSubscribeBackoff
 	}
 	if e.Kind != ListDelta {
@@ -109,24 +114,24 @@
 	if e.Kind == ListFull || len(e.Entries) > 0 {
 		b.subscription.listReceived = true
 	}
-	hadNone := len(b.servers.ready) == 0
+	hadNoReadyServer := len(b.servers.ready) == 0
 	for _, entry := range e.Entries {
 		b.updateServer(entry)
 	}
-	if hadNone && len(b.servers.ready) > 0 {
+	if hadNoReadyServer && len(b.servers.ready) > 0 {
 		b.admission.backoffEndsAt = b.now
 		b.admitQueued()
 	}
 	b.finishUnplaceable()
 }
 
-// removeUnlisted marks servers gone that a complete list no longer names.
+// removeUnlisted marks the servers as gone that a complete list does not contain.
 func (b *Balancer) removeUnlisted(entries []ServerEntry) {
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		listed[e.ID] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.servers.byID)) { // not in the map's order
+	for _, id := range slices.Sorted(maps.Keys(b.servers.byID)) { // in a deterministic order
 		if !listed[id] {
 			gone := b.servers.byID[id].ServerEntry
 			gone.State = Gone
@@ -135,7 +140,7 @@
 	}
 }
 
-// updateServer takes what the list says of one server.
+// updateServer applies the list entry of one server.
 func (b *Balancer) updateServer(entry ServerEntry) {
 	s := b.servers.byID[entry.ID]
 	if s == nil {
@@ -144,8 +149,8 @@
 		}
 		s = b.servers.add(entry.ID, b.fleet.recentPlacements.timeConstant)
 	}
-	if entry.StartedAt > s.StartedAt { // another process: what is known is the old one's
-		s.forgetProcess()
+	if entry.StartedAt > s.StartedAt { // another process: the old state is void
+		s.resetProcessState()
 	}
 	if entry.State == Draining && s.State != Draining {
 		for _, r := range s.connections {
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -1,44 +1,46 @@
 package balance
 
-// Decaying counters, and what is estimated of the fleet by them. Nothing is decided here.
+// Decaying counters, and estimates for the whole fleet that are based on them. This file contains no
+// decision logic.
 
 import (
 	"math"
 	"time"
 )
 
-// decayingCounter is a sum whose parts decay exponentially, as those of an EWMA do.
+// decayingCounter is a sum whose terms decay exponentially with their age, as in an EWMA.
 type decayingCounter struct {
-	timeConstant time.Duration // a part falls to 1/e of itself in this time
-	sum          float64       // as of updatedAt
+	timeConstant time.Duration // the time in which a term decays to 1/e of itself
+	sum          float64       // at updatedAt
 	updatedAt    time.Duration
 }
 
-// value is what is left of the sum by now.
+// value is the sum, decayed to now.
 func (c *decayingCounter) value(now time.Duration) float64 {
 	if c.sum == 0 {
-		return 0 // as most are, of a large fleet
+		return 0 // avoids the exponential: in a large fleet most counters are 0
 	}
-	return c.sum * decay(now-c.updatedAt, c.timeConstant)
+	return c.sum * decayFactor(now-c.updatedAt, c.timeConstant)
 }
 
+// add decays the sum to now and adds amount.
 func (c *decayingCounter) add(now time.Duration, amount float64) {
 	c.sum = c.value(now) + amount
 	c.updatedAt = now
 }
 
-// rate brings the sum up to date and returns it as a rate per second.
+// rate decays the sum to now and returns it as a rate per second.
 func (c *decayingCounter) rate(now time.Duration) float64 {
 	c.add(now, 0)
 	return c.sum / c.timeConstant.Seconds()
 }
 
-// decay is the part that is left of something of the given age.
-func decay(age, timeConstant time.Duration) float64 {
+// decayFactor is the part of a term that remains at the given age.
+func decayFactor(age, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
-// recordProbeRTT follows the usual round-trip time of a probe and its deviation, in seconds.
+// recordProbeRTT updates the averages of a probe's round-trip time and of its deviation, in seconds.
 func (f *fleetEstimate) recordProbeRTT(rtt float64) {
 	if f.probeRTT == 0 {
 		f.probeRTT, f.probeRTTDeviation = rtt, rtt/2
@@ -48,12 +50,12 @@
 	f.probeRTT += (rtt - f.probeRTT) / 16
 }
 
-// maxHintSamples is how many load hints their mean is taken from.
+// maxHintSamples is the number of load hints that their running mean averages.
 const maxHintSamples = 64
 
-// loadFactor returns a hint over the mean of hints, and counts it in the mean. It is bounded:
-// the hint of one client must not make all other connections weigh nothing. A hint that is no
-// number above 0 gives 1.
+// loadFactor returns the ratio of a hint to the mean of all hints, and adds the hint to the mean. The ratio
+// is bounded, so that one client's extreme hint cannot reduce the weight of all other connections to nothing.
+// It is 1 for a hint that is not a finite number above 0.
 func (f *fleetEstimate) loadFactor(hint float64) float64 {
 	if !(hint > 0) || math.IsInf(hint, 1) {
 		return 1
@@ -67,13 +69,13 @@
 	return factor
 }
 
-// recordFault counts a failure that this instance has seen of s.
+// recordFault counts a failure of s that this instance has observed.
 func (b *Balancer) recordFault(s *server) {
 	s.recentFaults.add(b.now, 1)
 	s.observedFailures.add(b.now, 1)
 }
 
-// updateFewestFaults finds how many faults the ready server has that has the fewest.
+// updateFewestFaults updates fleet.fewestFaults, the smallest number of recent faults of any ready server.
 func (b *Balancer) updateFewestFaults() {
 	b.fleet.fewestFaults = 0
 	for i, s := range b.servers.ready {
--- a/balance/events.go
+++ b/balance/events.go
@@ -1,50 +1,50 @@
 package balance
 
-// What happens to an instance. Nothing is decided here.
+// Events passed to a Balancer. This file contains no decision logic.
 
 import (
 	"slices"
 	"time"
 )
 
-// LoadReport is a server's load report. A field that was not reported is negative.
+// LoadReport is the load report of a server. Fields that were not reported are negative.
 type LoadReport struct {
-	Utilization    float64 // load asked of the server over what it can do
-	CPUUtilization float64 // share of its cores in use
-	Inflight       float64 // requests or connections that it holds
-	LatencyMillis  float64 // recent service time, milliseconds
+	Utilization    float64 // requested load over capacity
+	CPUUtilization float64 // share of the cores in use
+	Inflight       float64 // open requests or connections
+	LatencyMillis  float64 // recent service time
 }
 
-// EmptyLoadReport is a report without any field.
+// EmptyLoadReport is a report without any fields.
 var EmptyLoadReport = LoadReport{Utilization: -1, CPUUtilization: -1, Inflight: -1, LatencyMillis: -1}
 
-// ServerState is what the server list says of a server.
+// ServerState is the state of a server in the server list.
 type ServerState int
 
 // The states of a server.
 const (
 	Ready    ServerState = iota
-	Draining             // it takes no new connections, and those that stand are migrated
+	Draining             // takes no new connections; established ones are migrated
 	Gone
 )
 
-// ServerEntry is one server in a list.
+// ServerEntry is the entry of a server in a list.
 type ServerEntry struct {
 	ID        string
 	Zone      string
-	Cell      int // servers of one cell share the idempotency keys that they have seen
+	Cell      int // servers of one cell share the idempotency keys that they have received
 	State     ServerState
-	StartedAt time.Duration // when its process last started; 0 means long ago
+	StartedAt time.Duration // when its process last started; 0 for long ago
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
-// The outcomes. AtCapacity, ConnectFailed and NotSent prove that the attempt never ran.
+// The outcomes. AtCapacity, ConnectFailed and NotSent mean that the attempt did not run.
 const (
 	OK Outcome = iota
 	Errored
-	AtCapacity // the server refused it as full
+	AtCapacity // the server refused it because it is full
 	TimedOut
 	ConnectFailed
 	Reset
@@ -52,10 +52,10 @@
 	NotSent
 )
 
-// Event is something that has happened to this instance.
+// Event is something that has happened, passed to [Balancer.Handle].
 type Event interface{ event() }
 
-// ListKind says how a ListUpdate relates to the list held so far.
+// ListKind is the relation of a ListUpdate to the current list.
 type ListKind int
 
 // The kinds of list update.
@@ -66,51 +66,51 @@
 	ListFailed                 // a call failed or the subscription broke; no entries
 )
 
-// ListUpdate brings a change of the server list.
+// ListUpdate is a change of the server list.
 type ListUpdate struct {
 	Kind    ListKind
 	Entries []ServerEntry
-	Failure ListFailure // of a ListFailed
+	Failure ListFailure // for ListFailed
 }
 
-// ListFailure is how a call for the server list has failed.
+// ListFailure describes how a call for the server list failed.
 type ListFailure int
 
-// The ways in which a call fails.
+// The kinds of failed calls.
 const (
-	CallFailed       ListFailure = iota // it says nothing of how busy the list service is
-	CallRejected                        // the list service rejected it at once
-	CallQueueTimeout                    // the list service let it wait, and then had no time for it
+	CallFailed       ListFailure = iota // no indication of how busy the list service is
+	CallRejected                        // the list service rejected the call at once
+	CallQueueTimeout                    // the list service queued the call but did not serve it in time
 )
 
-// ListLease says until when the server list may be relied on. It replaces an earlier one; without one the
-// list may always be relied on.
+// ListLease sets the time until which the server list may be used. It replaces any earlier lease. Without a
+// lease the list never expires.
 type ListLease struct {
 	ExpiresAt time.Duration // 0 for never
 }
 
-// Request is a new connection that wants a server. It is owed one final answer.
+// Request is a new connection that needs a server. It must get exactly one final answer.
 type Request struct {
 	ID           string
 	Class        string
-	Group        string  // the connection's group; empty if none
-	LoadHint     float64 // how heavy the connection is among others; 0 for no hint
-	Reconnecting bool    // the client comes again after a break or a migration
-	ClientRetry  bool    // the client flags it as its own retry
+	Group        string  // the group of the connection; empty for none
+	LoadHint     float64 // weight of the connection relative to others; 0 for no hint
+	Reconnecting bool    // the client reconnects after a reset or a migration
+	ClientRetry  bool    // the client marks the request as a retry of its own
 	Deadline     time.Duration
-	Constraint   *ZoneConstraint // nil for none; not changed afterwards
+	Constraint   *ZoneConstraint // nil for none; must not be modified afterwards
 }
 
-// ZoneConstraint says where a request may be drawn. A share is the part of a zone's draws that
-// is kept: with 1 all, with 0 none, and then the request is never sent there. What is below 0
-// or no number counts as 0, what is above 1 as 1.
+// ZoneConstraint limits the zones in which a request may be drawn. A share is the fraction of the draws in a
+// zone that is kept: 1 keeps all draws; at 0 the request is never sent to the zone. Values below 0 and NaN
+// count as 0, and values above 1 count as 1.
 type ZoneConstraint struct {
-	Name         string      `json:"Name"` // what set it, for people
+	Name         string      `json:"Name"` // where the constraint comes from, for operators
 	Zones        []ZoneShare `json:"Zones"`
-	DefaultShare float64     `json:"Rest"` // of zones not named
+	DefaultShare float64     `json:"Rest"` // for zones not listed
 }
 
-// allowsNoZone reports whether the constraint leaves no zone to draw in.
+// allowsNoZone reports whether the constraint excludes every zone.
 func (c *ZoneConstraint) allowsNoZone() bool {
 	if c == nil || c.DefaultShare > 0 {
 		return false
@@ -118,21 +118,21 @@
 	return !slices.ContainsFunc(c.Zones, func(zone ZoneShare) bool { return zone.Share > 0 })
 }
 
-// ZoneShare is a zone's share.
+// ZoneShare is the share of one zone.
 type ZoneShare struct {
 	Zone  string  `json:"Zone"`
 	Share float64 `json:"Share"`
 }
 
-// OpenConnection is a connection that already runs through this instance at its start.
+// OpenConnection is a connection that was already open through this instance when the Balancer started.
 // Attempt 0 counts as made.
 type OpenConnection struct {
 	Request
 	Server string
 }
 
-// ConnectionEstablished says that an attempt's connection stands. A Latency of 0 means that the
-// server was not waited for, and says nothing of it.
+// ConnectionEstablished reports that the connection of an attempt is established. A Latency of 0 means that
+// the server did not have to respond for this, so the event says nothing about the server.
 type ConnectionEstablished struct {
 	ID      string
 	Attempt int
@@ -140,8 +140,8 @@
 	Latency time.Duration
 }
 
-// AttemptEnded reports how an attempt ended. Final means that the request is over with it;
-// otherwise this instance still owes the answer.
+// AttemptEnded reports the end of an attempt. If Final is set, the request has ended with it; otherwise the
+// request still needs a final answer.
 type AttemptEnded struct {
 	ID         string
 	Attempt    int
@@ -152,13 +152,13 @@
 	LoadReport LoadReport
 }
 
-// ClientGone says that the client has left; no answer is owed any more.
+// ClientGone reports that the client has disconnected. No answer is needed any more.
 type ClientGone struct{ ID string }
 
-// TimerFired answers a SetTimer.
+// TimerFired reports that the timer of a SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// ProbeResult answers a Probe.
+// ProbeResult is the result of a Probe.
 type ProbeResult struct {
 	Server     string
 	Outcome    Outcome
@@ -166,8 +166,8 @@
 	LoadReport LoadReport
 }
 
-// SettingsChanged brings other settings, which Settings.Validate has passed. Requests under way
-// keep their class.
+// SettingsChanged replaces the settings. Settings.Validate must have accepted the new ones. Requests in
+// progress keep their class.
 type SettingsChanged struct{ Settings }
 
 func (QuotaLease) event()            {}
--- a/balance/handle.go
+++ b/balance/handle.go
@@ -1,7 +1,7 @@
 package balance
 
-// How events reach the files that decide, and in which order actions leave. Nothing is decided
-// here.
+// Dispatch of events to their handlers, and the order of the resulting actions. This file contains no
+// decision logic.
 
 import (
 	"math"
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// maintenanceInterval is the period of what has to be done again and again. None of it grows
-// with the number of connections.
+// maintenanceInterval is the interval of periodic maintenance. The cost of maintenance does not grow with the
+// number of connections.
 const maintenanceInterval = 250 * time.Millisecond
 
-// maintenanceToken is the token of the timer that asks for maintenance; requests count from 1.
+// maintenanceToken is the timer token for maintenance. The tokens of requests start at 1.
 const maintenanceToken = 0
 
-// New returns a Balancer for the given settings, or a [*SettingsError]. All its randomness
-// comes from the seed.
+// New returns a Balancer with the given settings, or a [*SettingsError]. All random decisions derive from the
+// seed.
 func New(seed uint64, settings Settings) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -36,9 +36,10 @@
 	return b, nil
 }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to actions.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
-	// A clock that steps back stands still here: what decays would grow beyond all bounds.
+	// Time stands still if the clock steps back: with a negative age, decaying counters would grow without
+	// bound.
 	b.now = max(b.now, now)
 	b.actions = actions
 	if !b.started {
@@ -76,11 +77,11 @@
 	return answer
 }
 
-// start runs once, before the first event.
+// start initializes the state that depends on the time of the first event.
 func (b *Balancer) start() {
 	b.started = true
 	b.startedAt = b.now
-	b.migration.available = math.Inf(1) // the first round may use the whole budget
+	b.migration.available = math.Inf(1) // the first round of migrations may use the whole budget
 	b.migration.refilledAt = b.now
 	b.fleet.recentPlacements.updatedAt = b.now
 	b.fleet.baselinePlacements.updatedAt = b.now
@@ -89,7 +90,7 @@
 	b.emit(SetTimer{Delay: maintenanceInterval, Token: maintenanceToken})
 }
 
-// handleClientGone gives back what a request held whose client has left.
+// handleClientGone releases the state of a request whose client has disconnected.
 func (b *Balancer) handleClientGone(e ClientGone) {
 	r := b.requests.byID[e.ID]
 	if r == nil {
@@ -98,10 +99,11 @@
 	if r.phase == attempting {
 		r.releasePlacedLoad(b.now)
 	}
-	b.forgetRequest(r)
+	b.removeRequest(r)
 }
 
-// handleTimer goes on with the request that a timer names, unless the timer is stale.
+// handleTimer processes the expiry of a request's timer, or of the maintenance timer. Stale timers are
+// ignored.
 func (b *Balancer) handleTimer(token uint64) {
 	if token == maintenanceToken {
 		b.maintain()
@@ -117,16 +119,16 @@
 			r.stopAwaitingProbe()
 			b.resumeDrawing(r, s, false)
 		}
-	case queued: // it was not admitted in time
+	case queued: // not admitted in time
 		b.finish(r, NotAdmitted)
 	case established:
 		b.migrate(r)
 	}
 }
 
-// maintain does what has to be done again and again.
+// maintain performs the periodic work.
 func (b *Balancer) maintain() {
-	b.endListLease()
+	b.handleListExpiry()
 	b.admitQueued()
 	b.subscribeIfDue()
 	if b.now < b.nextMaintenanceAt {
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -1,37 +1,37 @@
 package balance
 
-// How the fleet's quota lease is applied. Nothing is decided here.
+// Application of the fleet's quota lease. This file contains no decision logic.
 
 import "time"
 
 const (
-	// observationDecay is how long what this instance saw of a server is reported to its peers:
-	// they are to learn what fails now, and keep their own counts.
+	// observationDecay is the time constant of the observations that are reported to peers. It is short
+	// because peers need to learn what fails now and keep counts of their own.
 	observationDecay = 2 * time.Second
-	// ejectionFaults is how many faults an ejection by the fleet counts as: a tenth of its draws
-	// is left to a server that all others have no fault of, enough to see it recover.
+	// ejectionFaults is the number of faults that an ejection by the fleet counts as. If another server has
+	// no faults, an ejected one keeps 1/(1+9), a tenth, of its draws: enough to detect its recovery.
 	ejectionFaults = 9.0
 )
 
-// quotaState is the latest quota lease.
+// quotaState is the state of the latest quota lease.
 type quotaState struct {
-	period         int64         // that the tokens are for
-	endsAt         time.Duration // the lease binds until then
+	period         int64         // the period that the tokens are valid for
+	leaseEndsAt    time.Duration // the lease applies until then
 	tokensExpireAt time.Duration
-	retryBudget    float64 // attempts beyond a request's first that are left
-	shedFraction   float64 // share of first arrivals to be rejected
+	retryBudget    float64 // remaining attempts beyond a request's first one
+	shedFraction   float64 // share of first arrivals to reject
 	limitsZones    bool
 	zones          map[string]*zoneLimit
 }
 
-// zoneLimit is what the fleet lets this instance do in a zone in this period.
+// zoneLimit limits the attempts of this instance in a zone in the current period.
 type zoneLimit struct {
-	share      float64 // of its draws that is kept
-	tokens     int     // attempts allowed; negative for no bound
+	share      float64 // of the draws in the zone that is kept
+	tokens     int     // permitted attempts; negative for no limit
 	tokensUsed int
 }
 
-// zone returns the limit of a zone, which bounds nothing unless a lease has set it.
+// zone returns the limit of a zone. It restricts nothing until a lease has set it.
 func (q *quotaState) zone(name string) *zoneLimit {
 	z := q.zones[name]
 	if z == nil {
@@ -41,13 +41,13 @@
 	return z
 }
 
-// hasLease reports whether a quota lease binds this instance.
-func (b *Balancer) hasLease() bool { return b.now < b.quota.endsAt }
+// hasQuota reports whether a quota lease is in force.
+func (b *Balancer) hasQuota() bool { return b.now < b.quota.leaseEndsAt }
 
-// hasZoneLimits reports whether a quota lease that binds this instance limits zones.
-func (b *Balancer) hasZoneLimits() bool { return b.quota.limitsZones && b.hasLease() }
+// hasZoneLimits reports whether a quota lease is in force that limits zones.
+func (b *Balancer) hasZoneLimits() bool { return b.quota.limitsZones && b.hasQuota() }
 
-// zoneLimitOf is the quota lease's limit on the zone of s; nil where it has none.
+// zoneLimitOf is the limit that the quota lease sets on the zone of s; nil if it sets none.
 func (b *Balancer) zoneLimitOf(s *server) *zoneLimit {
 	if !b.hasZoneLimits() {
 		return nil
@@ -55,8 +55,8 @@
 	return b.quota.zones[s.Zone]
 }
 
-// applyQuotaLease takes a lease. One of an earlier period is ignored, as is one whose retry
-// budget is no number above 0. A second one of the same period does not renew what is used.
+// applyQuotaLease applies a lease. A lease of an earlier period is ignored, and so is one whose retry budget
+// is negative or NaN. A further lease of the same period does not restore tokens that were used.
 func (b *Balancer) applyQuotaLease(lease QuotaLease) {
 	if lease.Period < b.quota.period || !(lease.RetryBudget >= 0) {
 		return
@@ -69,7 +69,7 @@
 	}
 	hasClosedZone := b.applyZoneQuotas(lease)
 	b.quota.period = lease.Period
-	b.quota.endsAt = b.now + lease.LeaseDuration
+	b.quota.leaseEndsAt = b.now + lease.LeaseDuration
 	b.quota.tokensExpireAt = lease.TokensExpireAt
 	b.quota.retryBudget = lease.RetryBudget
 	b.quota.shedFraction = clampShare(lease.ShedFraction)
@@ -88,12 +88,12 @@
 	}
 }
 
-// applyZoneQuotas takes a lease's zones, and reports whether one is closed that was not.
+// applyZoneQuotas applies the zone quotas of a lease and reports whether a zone that was open is now closed.
 func (b *Balancer) applyZoneQuotas(lease QuotaLease) (hasClosedZone bool) {
-	before, wasLimited := b.quota.zones, b.hasZoneLimits()
-	b.quota.zones = make(map[string]*zoneLimit, len(before))
+	previousZones, wasLimited := b.quota.zones, b.hasZoneLimits()
+	b.quota.zones = make(map[string]*zoneLimit, len(previousZones))
 	if lease.Period == b.quota.period {
-		for name, z := range before {
+		for name, z := range previousZones {
 			b.quota.zone(name).tokensUsed = z.tokensUsed
 		}
 	}
@@ -101,15 +101,15 @@
 		z := b.quota.zone(quota.Zone)
 		z.share = clampShare(quota.Share)
 		z.tokens = quota.Tokens
-		was := before[quota.Zone]
-		wasOpen := !wasLimited || was == nil || was.share > 0
+		previous := previousZones[quota.Zone]
+		wasOpen := !wasLimited || previous == nil || previous.share > 0
 		hasClosedZone = hasClosedZone || z.share == 0 && wasOpen
 	}
 	b.quota.limitsZones = len(lease.Zones) > 0
 	return hasClosedZone
 }
 
-// clampShare brings a share into 0 to 1. What is no number is 0.
+// clampShare limits a share to the range 0 to 1. NaN becomes 0.
 func clampShare(share float64) float64 {
 	if !(share > 0) {
 		return 0
--- a/balance/listlease.go
+++ b/balance/listlease.go
@@ -1,31 +1,31 @@
 package balance
 
-// May the server list be relied on? Whoever follows it says until when; after that nothing is sent by it:
-// requests are answered at once, and what is established goes on.
+// The lease on the server list. Once it has expired, no attempt is sent: requests are answered at once, and
+// established connections stay open.
 
-// handleListLease takes until when the list may be relied on.
+// handleListLease sets the time until which the list may be used.
 func (b *Balancer) handleListLease(e ListLease) {
 	s := &b.subscription
 	s.leaseEndsAt = e.ExpiresAt
 	if b.isListExpired() {
-		b.endListLease()
+		b.handleListExpiry()
 		return
 	}
-	s.leaseEnded = false
+	s.expiryHandled = false
 	if s.leaseEndsAt > 0 {
 		b.emit(SetTimer{Delay: s.leaseEndsAt - b.now, Token: maintenanceToken})
 	}
 }
 
-// isListExpired reports whether the list may not be relied on any more.
+// isListExpired reports whether the lease on the list has expired.
 func (b *Balancer) isListExpired() bool {
 	return b.subscription.leaseEndsAt > 0 && b.now >= b.subscription.leaseEndsAt
 }
 
-// endListLease answers what waits for a server, once the list may not be relied on any more.
-func (b *Balancer) endListLease() {
-	if b.isListExpired() && !b.subscription.leaseEnded {
-		b.subscription.leaseEnded = true
+// handleListExpiry answers the requests that wait for a server, once per expiry of the list lease.
+func (b *Balancer) handleListExpiry() {
+	if b.isListExpired() && !b.subscription.expiryHandled {
+		b.subscription.expiryHandled = true
 		b.finishUnplaceable()
 	}
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -1,7 +1,7 @@
 package balance
 
-// What follows an attempt? Its connection stands, another attempt is made elsewhere where that does no
-// harm, or the request has its final answer.
+// Placement: what follows an attempt. Either its connection is established, or another attempt is made on a
+// different server if repeating the request is safe, or the request gets its final answer.
 
 import (
 	"slices"
@@ -11,15 +11,15 @@
 )
 
 const (
-	// earlyResetAge is how soon a reset shows that the connection should not have been placed there,
-	// rather than that its server has failed.
+	// earlyResetAge is the age below which the reset of a connection shows that it should not have been
+	// placed on its server, rather than that the server has failed.
 	earlyResetAge = 2 * time.Second
-	// maxFailureRate is the share of recent attempts beyond which failures mean congestion.
+	// maxFailureRate is the share of recent attempts above which failures count as congestion.
 	maxFailureRate = 0.5
 )
 
-// sendAttempt sends r to s, unless s has left meanwhile or has taken all that it can, or r's key window
-// has ended.
+// sendAttempt sends r to s. It queues r again if s is no longer available or has no capacity left, if the
+// list lease has expired, or if r's key window has ended.
 func (b *Balancer) sendAttempt(r *request, s *server) {
 	if b.isListExpired() || !b.hasCapacity(r, s) || !b.isAllowed(r, s) {
 		b.enqueue(r)
@@ -27,16 +27,17 @@
 	}
 	b.setPhase(r, attempting)
 	b.recordAttempt(r, s)
-	if b.admission.backoff > b.settings.Tick { // after congestion placements keep a distance
+	if b.admission.backoff > b.settings.Tick { // after congestion, placements are spaced by the backoff
 		b.pauseAdmission()
 	}
 	var timeout time.Duration
-	if end := r.keyWindowEndsAt(); end != never { // a repeat sent after it would run twice
+	if end := r.keyWindowEndsAt(); end != never { // a repeat sent after the key window would run twice
 		timeout = end - b.now
 	}
 	b.emit(Attempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
+// handleEstablished records that the connection of an attempt is established.
 func (b *Balancer) handleEstablished(e ConnectionEstablished) {
 	r := b.requests.byID[e.ID]
 	if r == nil || r.server == nil || r.phase != attempting {
@@ -49,7 +50,7 @@
 	b.growWindow()
 }
 
-// handleAttemptEnded goes on with a request whose attempt or connection has ended.
+// handleAttemptEnded processes the end of an attempt or of a connection.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	if s := b.servers.byID[e.Server]; s != nil && b.settings.LoadReporting.InOutcomes {
 		b.applyReport(s, e.LoadReport)
@@ -60,9 +61,9 @@
 	}
 	isCurrent := r.phase == attempting && e.Attempt == r.attemptCount-1
 	if !isCurrent && !e.Final && r.phase != established {
-		return // the end of this attempt is known
+		return // the end of this attempt is already known
 	}
-	if r.phase == attempting && r.server != nil && !b.hadLittleTime(r, e.Outcome) {
+	if r.phase == attempting && r.server != nil && !b.hadShortDeadline(r, e.Outcome) {
 		b.recordSetupOutcome(r.server, e.Outcome)
 	}
 	if !e.Final && r.phase != established {
@@ -70,8 +71,8 @@
 		return
 	}
 	if r.phase == established && e.Outcome == Reset && r.server != nil {
-		// A server that drops what it has just taken is full whatever its last report said; all who saw
-		// that report went there together.
+		// The server has reset a connection that it had accepted. That counts as a fault, whatever its last
+		// report says: all instances that saw the report may have sent requests there at the same time.
 		b.recordFault(r.server)
 		if b.now-r.startedAt < earlyResetAge {
 			b.reduceWindow()
@@ -79,17 +80,17 @@
 			b.fleet.lastResetAt = b.now
 		}
 	}
-	b.forgetRequest(r)
+	b.removeRequest(r)
 }
 
-// hadLittleTime reports whether an attempt timed out because its request had little time left: less than
-// half of what others wait for admission alone. Servers drop such requests without a word, so that the
-// timeout says nothing of the server and nothing of the fleet.
-func (b *Balancer) hadLittleTime(r *request, outcome Outcome) bool {
+// hadShortDeadline reports whether an attempt timed out because its request had little time left: less than
+// half of what other requests may spend waiting for admission alone. Servers drop such requests without an
+// answer, so the timeout indicates a problem neither of the server nor of the fleet.
+func (b *Balancer) hadShortDeadline(r *request, outcome Outcome) bool {
 	return outcome == TimedOut && b.now-r.startedAt < b.queueTimeout(r)/2
 }
 
-// recordSetupOutcome counts a failed attempt against its server and in the failure rate.
+// recordSetupOutcome counts a failed attempt as a fault of its server and in the failure rate.
 func (b *Balancer) recordSetupOutcome(s *server, outcome Outcome) {
 	switch outcome {
 	case Errored, ConnectFailed, AtCapacity, TimedOut, Reset:
@@ -101,22 +102,22 @@
 	}
 }
 
-// retryOrFinish decides what follows an attempt that ended without an answer. After a failed connection
-// or a refusal as full drawing starts anew without that server, and so it does after an error where a
-// repeat does no harm; after a reset or time-out nothing is sent again.
+// retryOrFinish decides what follows an attempt that ended without an answer. After a failed connection or a
+// refusal by a full server, r draws again without that server. The same applies after an error if repeating r
+// is safe. After a reset or a timeout, r is not sent again.
 func (b *Balancer) retryOrFinish(r *request, outcome Outcome) {
 	s := r.releasePlacedLoad(b.now)
 	mayRetry := true
 	switch outcome {
 	case AtCapacity, ConnectFailed, NotSent:
 	default:
-		if r.mayHaveRunOn == nil { // the first that may have run, and the earliest that it can have
+		if r.mayHaveRunOn == nil { // the first one, which may have run once it was sent
 			r.mayHaveRunOn, r.mayHaveRunAt = s, r.startedAt
 		}
 		mayRetry = outcome == Errored && lifecycle.MayRetry(lifecycle.Repeat{
 			MayHaveRun: true,
-			Effect:     effects[r.class.Idempotency],
-			InKeyScope: true, // mayRepeat looks at each server
+			Effect:     lifecycleEffects[r.class.Idempotency],
+			InKeyScope: true, // mayRetryOn checks the key scope for each server
 			KeyWindow:  never,
 		}) == lifecycle.None
 	}
@@ -124,7 +125,7 @@
 		b.finish(r, RetryUnsafe)
 		return
 	}
-	if b.hasLease() && b.quota.retryBudget < 1 {
+	if b.hasQuota() && b.quota.retryBudget < 1 {
 		b.finish(r, OverQuota)
 		return
 	}
@@ -134,36 +135,36 @@
 	b.enqueue(r)
 }
 
-// isAllowed reports whether r may go to s at all.
+// isAllowed reports whether r may be sent to s at all.
 func (b *Balancer) isAllowed(r *request, s *server) bool {
-	return !slices.Contains(r.excludedServers, s) && b.mayRepeat(r, s) && b.constraintShare(r, s) > 0
+	return !slices.Contains(r.excludedServers, s) && b.mayRetryOn(r, s) && b.constraintShare(r, s) > 0
 }
 
-// mayRepeat reports whether r may be sent to s, given that an attempt of it may have run already: keyed
-// requests only where repeats are dropped and only while they are, those that are not idempotent
-// nowhere.
-func (b *Balancer) mayRepeat(r *request, s *server) bool {
+// mayRetryOn reports whether r may be sent to s, given that an earlier attempt may have run. A keyed request
+// may be sent only to servers that drop repeats of its key, and only while they do; a request that is not
+// idempotent may not be sent to any.
+func (b *Balancer) mayRetryOn(r *request, s *server) bool {
 	first := r.mayHaveRunOn
 	if first == nil {
 		return true
 	}
 	return lifecycle.MayRetry(lifecycle.Repeat{
 		MayHaveRun: true,
-		Effect:     effects[r.class.Idempotency],
+		Effect:     lifecycleEffects[r.class.Idempotency],
 		InKeyScope: r.class.KeyScope.includes(first, s),
 		Elapsed:    b.now - r.mayHaveRunAt,
 		KeyWindow:  r.class.KeyWindow,
 	}) == lifecycle.None
 }
 
-// effects are the kinds of idempotency as package lifecycle has them.
-var effects = map[Idempotency]lifecycle.Effect{
+// lifecycleEffects maps the kinds of idempotency to those of package lifecycle.
+var lifecycleEffects = map[Idempotency]lifecycle.Effect{
 	Idempotent:       lifecycle.Idempotent,
 	IdempotencyKeyed: lifecycle.Keyed,
 	NonIdempotent:    lifecycle.NonIdempotent,
 }
 
-// includes reports whether two servers are of the same group by the scope.
+// includes reports whether two servers belong to the same group of the scope.
 func (scope KeyScope) includes(one, other *server) bool {
 	switch scope {
 	case ScopeZone:
@@ -174,7 +175,7 @@
 	return true
 }
 
-// finish gives r its final answer: rejected where trying again is surely harmless, else failed.
+// finish gives r its final answer: Reject if a retry by the client is certainly safe, otherwise Fail.
 func (b *Balancer) finish(r *request, reason RejectReason) {
 	isHarmless := r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotencyKeyed && r.class.KeyScope == ScopeAll
@@ -187,5 +188,5 @@
 	} else {
 		b.emit(Fail{ID: r.ID, Reason: reason})
 	}
-	b.forgetRequest(r)
+	b.removeRequest(r)
 }
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -1,37 +1,37 @@
 package balance
 
-// What load is a server at? A probe asks for its load report and holds requests back for a moment; to
-// the report is added what was placed there since.
+// Load estimates: a probe asks a server for its load report, and requests wait for the answer for a short
+// time. The estimate is the reported load plus the load placed on the server since.
 
 import "time"
 
 const (
-	// maxLoadSamples is how many load reports the fleet's mean load is taken from, and maxLoadSample
-	// what a single one counts at most, so that a few overloaded servers don't pass for the mean.
+	// maxLoadSamples is the number of load reports that the fleet's mean load averages. maxLoadSample limits
+	// the load of a single report in that mean, so that a few overloaded servers do not dominate it.
 	maxLoadSamples, maxLoadSample = 16.0, 1.5
-	// maxPlausibleLoad and maxPlausibleConnections are more than any true report says: a load over
-	// capacity, and connections on one server. Believed, one such reading would pass as low where it is
-	// cut into levels, or make connections weigh nothing.
+	// maxPlausibleLoad (load over capacity) and maxPlausibleConnections (on one server) are above any correct
+	// report. If a higher value were accepted, the load could overflow when it is converted to a level, so
+	// that the server counts as low, or the load per connection could become almost 0.
 	maxPlausibleLoad, maxPlausibleConnections = 1000.0, 1e7
-	// maxLoadFactor is what a connection counts at most by its hint, as a multiple of the mean, and the
-	// least is one part of as many.
+	// maxLoadFactor limits the weight of a connection by its load hint, as a multiple of the mean hint. The
+	// minimum is 1/maxLoadFactor.
 	maxLoadFactor = 16.0
-	// maxAddedLoad is what one connection counts at most where it is placed.
+	// maxAddedLoad limits the load that one connection is estimated to add to its server.
 	maxAddedLoad = 0.25
-	// reportDelay is how long a placed connection may be missing from a report.
+	// reportDelay is how long a placed connection may be missing from its server's load reports.
 	reportDelay = time.Second
-	// minReportedConnections is how many connections the load of one of them is at least taken from: a
-	// nearly empty server's share of noise is large.
+	// minReportedConnections is the minimum number of connections over which a reported load is divided to
+	// get the load of one: noise is a large part of the load of a nearly empty server.
 	minReportedConnections = 4.0
 )
 
-// canProbe reports whether a draw can be answered by a probe. Where it can't, the last reports take the
-// place of the answers.
+// canProbe reports whether drawn servers can be probed. If not, their last reports are used.
 func (b *Balancer) canProbe() bool {
 	return b.settings.Limits.ProbesAllowed && b.settings.LoadReporting.InProbeResults
 }
 
-// awaitProbe probes s for r and holds r meanwhile. One probe answers all that wait for it.
+// awaitProbe sends a probe to s, unless one is pending, and makes r wait for the result. One result answers
+// all requests that wait for it.
 func (b *Balancer) awaitProbe(r *request, s *server) {
 	r.awaitedServer = s
 	s.waitingRequests = append(s.waitingRequests, r)
@@ -39,7 +39,7 @@
 	b.setRequestTimer(r, min(b.now+b.probeTimeout(r), r.decisionDeadline()))
 }
 
-// sendProbe probes s, unless a probe is out that may still be answered.
+// sendProbe probes s, unless an earlier probe may still be answered.
 func (b *Balancer) sendProbe(s *server) {
 	if s.probeInFlight && b.now-s.probedAt <= reportDelay {
 		return
@@ -49,8 +49,9 @@
 	b.emit(Probe{Server: s.ID})
 }
 
-// probeTimeout is how long r waits for a probe: a few usual round trips, while all draws fit into half
-// of its latency objective. A server that needs longer is passed over: it is dead, cut off or busy.
+// probeTimeout is how long r waits for a probe: 2 average round-trip times plus 4 mean deviations, but at
+// least two ticks, and at most so long that the timeouts of all draws fit into half of r's latency objective.
+// A server that does not answer in time is down, unreachable or busy, and is skipped.
 func (b *Balancer) probeTimeout(r *request) time.Duration {
 	longest := b.queueTimeout(r) / (2 * trials)
 	if b.fleet.probeRTT == 0 {
@@ -60,7 +61,7 @@
 	return min(max(roundTrips, 2*b.settings.Tick), longest)
 }
 
-// handleProbeResult takes a probe's result: a report of the server, and for all that wait.
+// handleProbeResult applies the load report of a probe and resumes the requests that wait for the probe.
 func (b *Balancer) handleProbeResult(e ProbeResult) {
 	s := b.servers.byID[e.Server]
 	if s == nil {
@@ -70,7 +71,7 @@
 	answered := e.Outcome == OK
 	if answered {
 		if e.LoadReport.Utilization == 0 && len(s.connections) > 0 {
-			s.probeDueAt = b.now + takeoverProbeDelay // a report from before they were there
+			s.probeDueAt = b.now + takeoverProbeDelay // the report predates the connections
 		}
 		b.fleet.recordProbeRTT(e.Latency.Seconds())
 		b.applyReport(s, e.LoadReport)
@@ -85,23 +86,23 @@
 		b.resumeDrawing(r, s, answered)
 	}
 	if answered {
-		b.rebalance(s) // on a fresh report only: an old one may be long out of date
+		b.rebalance(s) // needs a fresh report: an old one may be long out of date
 	}
 }
 
-// resumeDrawing goes on with r, which waited for the probe of s.
+// resumeDrawing continues the draws of r, which waited for a probe of s.
 func (b *Balancer) resumeDrawing(r *request, s *server, answered bool) {
 	switch {
-	case b.now >= r.answerDeadline: // results that keep coming must not carry it past its time
+	case b.now >= r.answerDeadline: // probe results that keep arriving must not extend the deadline
 		b.finish(r, DeadlineExceeded)
 	case r.round.tryingAffinity:
-		b.decideAffinityServer(r, s, answered)
-	case !answered || !b.considerDraw(r, s):
+		b.evaluateAffinityServer(r, s, answered)
+	case !answered || !b.evaluateDraw(r, s):
 		b.draw(r)
 	}
 }
 
-// applyReport takes a server's load report.
+// applyReport applies a server's load report.
 func (b *Balancer) applyReport(s *server, report LoadReport) {
 	load := report.Utilization
 	if load < 0 {
@@ -110,12 +111,12 @@
 	if load < 0 {
 		return
 	}
-	if !(load <= maxPlausibleLoad) { // a counter has wrapped, or it is no number: nothing is known
+	if !(load <= maxPlausibleLoad) { // the counter has wrapped or the value is NaN, so the load is unknown
 		s.reportedLoad, s.loadPerConnection = -1, 0
 		return
 	}
 	if b.serviceTimeLimit > 0 && report.LatencyMillis/1000 > b.serviceTimeLimit.Seconds() {
-		load = max(load, 1) // it serves nobody in time, whatever its cores could do
+		load = max(load, 1) // it serves no message in time, however much CPU is idle
 	}
 	s.reportedLoad = load
 	b.fleet.loadSamples = min(b.fleet.loadSamples+1, maxLoadSamples)
@@ -125,24 +126,25 @@
 	}
 }
 
-// estimatedLoad is a server's load as far as known: what it reported and what this instance has placed
-// there since; -1 if it never reported.
+// estimatedLoad is a server's estimated load: the reported load plus the load that this instance has placed
+// there and that reports may not include yet; -1 if the server has not reported.
 func (b *Balancer) estimatedLoad(s *server) float64 {
 	if s.reportedLoad < 0 {
 		return -1
 	}
 	load := s.reportedLoad + s.placedLoad.value(b.now)
 	if load < b.fleet.meanLoad {
-		// A reading below the mean is partly chance, and the least of d draws is the most so: a full
-		// fleet would always seem to have capacity.
+		// A reading below the mean is partly chance, and the least of d readings the most so. Without this
+		// correction, a full fleet would always seem to have capacity.
 		load = (load + b.fleet.meanLoad) / 2
 	}
 	return load
 }
 
-// estimateAddedLoad estimates the load that r adds to s, by r's load hint if it has one: the load of
-// one connection there by its last report, or else the mean load over the connections that a server
-// usually holds. The second is far off for an instance that has just started and holds hardly any.
+// estimateAddedLoad estimates the load that r adds to s: the load of one connection there, multiplied by r's
+// load factor. The load of one connection comes from the last report of s. Without one, it is the mean load
+// over the mean number of connections per server, extrapolated from this instance to all; that is far off if
+// this instance has just started and holds few connections.
 func (b *Balancer) estimateAddedLoad(r *request, s *server) float64 {
 	load := s.loadPerConnection
 	if load == 0 {
--- a/balance/quota.go
+++ b/balance/quota.go
@@ -1,7 +1,7 @@
 package balance
 
-// What the fleet lets an instance spend, and what an instance reports of its spending. Nothing
-// is decided here. The names in JSON are those that other versions read and write.
+// Quota leases and usage reports. This file contains no decision logic. The JSON names are read and written
+// by other versions.
 
 import (
 	"maps"
@@ -9,63 +9,63 @@
 	"time"
 )
 
-// QuotaLease is what the whole fleet lets this instance spend, where instances share their
-// budgets. While it lasts it takes the place of the instance's own estimates.
+// QuotaLease is the part of the fleet's budgets that this instance may use, where instances share their
+// budgets. While the lease lasts, it replaces the instance's own estimates.
 type QuotaLease struct {
-	Period         int64         `json:"Half"`    // that the tokens are for; never falls
-	TokensExpireAt time.Duration `json:"Until"`   // tokens are void from then on
-	LeaseDuration  time.Duration `json:"For"`     // from now; then the instance is on its own again
-	Servers        []ServerQuota `json:"Servers"` // cold servers; those not named have no tokens
-	RetryBudget    float64       `json:"Retries"` // attempts beyond a request's first that may be made now
-	EjectedServers []string      `json:"Shunned"` // servers that enough instances have seen fail
-	Zones          []ZoneQuota   `json:"Zones"`   // those not named are not bounded
-	ShedFraction   float64       `json:"Over"`    // share of first arrivals to be rejected: the fleet can't carry them
+	Period         int64         `json:"Half"`    // the period of the tokens; never decreases
+	TokensExpireAt time.Duration `json:"Until"`   // the tokens are void from then on
+	LeaseDuration  time.Duration `json:"For"`     // from now; then the instance's own estimates apply again
+	Servers        []ServerQuota `json:"Servers"` // cold servers; servers not listed have no tokens
+	RetryBudget    float64       `json:"Retries"` // attempts beyond a request's first that are permitted
+	EjectedServers []string      `json:"Shunned"` // servers that enough instances have observed to fail
+	Zones          []ZoneQuota   `json:"Zones"`   // zones not listed are not limited
+	ShedFraction   float64       `json:"Over"`    // share of first arrivals to reject for lack of capacity
 }
 
-// ZoneQuota bounds what this instance sends a zone. Connections that stand there stay.
+// ZoneQuota limits the attempts of this instance in a zone. Established connections are not affected.
 type ZoneQuota struct {
 	Zone   string  `json:"Zone"`
-	Share  float64 `json:"Share"`  // of its draws that is kept, 0 to 1, as in a ZoneConstraint
-	Tokens int     `json:"Tokens"` // attempts in the period; negative for no bound
+	Share  float64 `json:"Share"`  // share of draws that is kept, 0 to 1, as in a ZoneConstraint
+	Tokens int     `json:"Tokens"` // attempts in the period; negative for no limit
 }
 
-// ServerQuota is how many attempts at a cold server this instance may make.
+// ServerQuota is the number of attempts that this instance may make at a cold server.
 type ServerQuota struct {
 	ID        string        `json:"ID"`
-	StartedAt time.Duration `json:"Started"` // of the process that the tokens are for
+	StartedAt time.Duration `json:"Started"` // start of the process that the tokens are for
 	Tokens    int           `json:"Tokens"`  // attempts in the period
 }
 
-// QuotaUsage is what an instance reports to its peers.
+// QuotaUsage is the usage that an instance reports to its peers.
 type QuotaUsage struct {
-	Period        int64         `json:"Half"`    // that the used tokens are of
-	FirstAttempts float64       `json:"Firsts"`  // first attempts of first arrivals of late
-	Retries       float64       `json:"Retries"` // attempts beyond the first, of late
+	Period        int64         `json:"Half"`    // the period of the used tokens
+	FirstAttempts float64       `json:"Firsts"`  // recent first attempts of first arrivals
+	Retries       float64       `json:"Retries"` // recent attempts beyond the first
 	Servers       []ServerUsage `json:"Servers"`
-	Zones         []ZoneUsage   `json:"Zones"` // those with tokens
+	Zones         []ZoneUsage   `json:"Zones"` // zones that are limited by tokens
 }
 
-// ZoneUsage is how many attempts into a zone there were in the period.
+// ZoneUsage is the number of attempts made in a zone in the period.
 type ZoneUsage struct {
 	Zone string `json:"Zone"`
 	Used int    `json:"Used"`
 }
 
-// ServerUsage is what an instance reports of one server.
+// ServerUsage is the usage of one server that an instance reports.
 type ServerUsage struct {
 	ID             string        `json:"ID"`
 	Zone           string        `json:"Zone"`
-	Load           float64       `json:"Load"` // as last reported; -1 if unknown
+	Load           float64       `json:"Load"` // last reported load; -1 if unknown
 	StartedAt      time.Duration `json:"Started"`
 	WarmingUp      bool          `json:"Cold"`
-	ColdBudget     float64       `json:"Part"`   // attempts that its slow start leaves to this instance's traffic
+	ColdBudget     float64       `json:"Part"`   // attempts that slow start leaves to this instance
 	Used           int           `json:"Used"`   // attempts in the period
-	RecentAttempts float64       `json:"Asked"`  // attempts and failed probes of late
-	RecentFailures float64       `json:"Failed"` // those of them that failed
+	RecentAttempts float64       `json:"Asked"`  // recent attempts and failed probes
+	RecentFailures float64       `json:"Failed"` // those of RecentAttempts that failed
 }
 
-// QuotaUsage returns what this instance has spent of the fleet's budgets, and what it would take
-// part with in them, for its peers.
+// QuotaUsage returns what this instance has used of the fleet's budgets, and the demand on which its share of
+// them is based, for its peers.
 func (b *Balancer) QuotaUsage(now time.Duration) QuotaUsage {
 	b.now = max(b.now, now)
 	usage := QuotaUsage{
@@ -84,6 +84,7 @@
 	return usage
 }
 
+// serverUsage is the part of QuotaUsage for one server.
 func (b *Balancer) serverUsage(s *server) ServerUsage {
 	usage := ServerUsage{
 		ID:             s.ID,
--- a/balance/rebalance.go
+++ b/balance/rebalance.go
@@ -1,36 +1,37 @@
 package balance
 
-// Which connections are migrated? Some of those on an overloaded server, within a budget, and all of
-// those on a draining one.
+// Rebalancing: which connections are migrated. Part of those on an overloaded server are, within a budget,
+// and all of those on a draining server.
 
 import "time"
 
 const (
-	// rebalanceThreshold is the load above which a server gives up connections if it is also
-	// unevenRatio times above the fleet's mean, down to that mean but not below rebalanceTarget: a
-	// migration costs the client a moment and the new server a group's load, so neither noise nor a
-	// load that is still served well must cause it. Above overloadThreshold it gives up connections
-	// wherever the others stand: a full server serves nobody, and its clients wait better outside.
+	// rebalanceThreshold is the load above which a server migrates connections, if its load is also above
+	// unevenRatio times the fleet's mean. It does so down to that mean, but not below rebalanceTarget. A
+	// migration interrupts the client and may cost the new server a group's load, so neither noise nor a load
+	// that is still served well may cause one. Above overloadThreshold a server migrates connections whatever
+	// the load of the others: a full server serves none of its clients, and they are better off waiting for
+	// admission.
 	rebalanceThreshold, rebalanceTarget = 0.82, 0.7
 	unevenRatio, overloadThreshold      = 1.35, 0.97
-	// rebalanceInterval is the pause between two rounds of migrations from a server, so that the
-	// reports show the first before the second is decided.
+	// rebalanceInterval is the minimum time between two rounds of migrations from a server, so that load
+	// reports show the effect of the first round before the second is decided.
 	rebalanceInterval = 2 * time.Second
-	// migrationsPerSecond is the share of its connections that an instance may migrate a second, so
-	// that migrations never make a reconnect wave of their own.
+	// migrationsPerSecond is the share of its connections that an instance may migrate per second, so that
+	// migrations do not cause a reconnect wave.
 	migrationsPerSecond = 0.1
-	// takeoverProbeDelay is how long after connections were taken over their server is probed: by then
-	// its report shows them. No draw of ours put them there.
+	// takeoverProbeDelay is the delay after which a server is probed when connections to it were taken over:
+	// by then its report includes them. They were not placed by draws, so no probe preceded them.
 	takeoverProbeDelay = 500 * time.Millisecond
-	// connectionProbeInterval is how long a server that holds connections goes unprobed at most: draws
-	// alone may not meet it for many seconds, and it serves nobody meanwhile if it has grown full or
-	// slow.
+	// connectionProbeInterval is the maximum time between probes of a server that holds connections. Draws
+	// alone may miss a server for many seconds, during which it serves none of its clients if it has become
+	// full or slow.
 	connectionProbeInterval = time.Second
-	// drainSpread is the time over which connections leave a draining server.
+	// drainSpread is the time over which the migrations from a draining server are spread.
 	drainSpread = 1500 * time.Millisecond
 )
 
-// probeServersInUse probes the servers that hold connections and that no draw has met of late.
+// probeServersInUse probes the servers that hold connections and have not been probed recently.
 func (b *Balancer) probeServersInUse() {
 	for _, s := range b.servers.ready {
 		if len(s.connections) > 0 && b.now >= s.probeDueAt && b.canProbe() {
@@ -39,9 +40,9 @@
 	}
 }
 
-// rebalance migrates connections away from a server whose report shows it well above the fleet, by the
-// share that would bring it back. Every instance does the same by itself, so together they migrate
-// about what is needed.
+// rebalance migrates connections away from a server whose report shows a load well above the fleet's: the
+// share 1 - target/load, which would bring it down to the target. Every instance does so independently, so
+// that together they migrate about the number needed.
 func (b *Balancer) rebalance(s *server) {
 	mean := b.fleet.meanLoad
 	threshold := max(rebalanceThreshold, min(unevenRatio*mean, overloadThreshold))
@@ -49,7 +50,7 @@
 		return
 	}
 	if b.isListExpired() {
-		return // those who come again would be rejected
+		return // reconnecting clients would be rejected
 	}
 	b.refillMigrationBudget()
 	target := max(rebalanceTarget, min(mean, rebalanceThreshold))
@@ -62,11 +63,11 @@
 	}
 	b.logRebalance(s)
 	s.nextRebalanceAt = b.now + b.jitter(rebalanceInterval, 0.3)
-	s.probeDueAt = s.nextRebalanceAt // to see whether it was enough
+	s.probeDueAt = s.nextRebalanceAt // to check whether the migrations were enough
 }
 
-// refillMigrationBudget adds what the time since the last round allows, up to a fifth of all
-// connections.
+// refillMigrationBudget adds the migrations earned since the last round, up to a fifth of all connections but
+// at least 2.
 func (b *Balancer) refillMigrationBudget() {
 	m, open := &b.migration, float64(b.requests.openConnections)
 	seconds := (b.now - m.refilledAt).Seconds()
@@ -74,7 +75,7 @@
 	m.refilledAt = b.now
 }
 
-// scheduleMigration lets r leave its draining server within the spread.
+// scheduleMigration migrates r off its draining server at a random time within drainSpread.
 func (b *Balancer) scheduleMigration(r *request) {
 	b.setRequestTimer(r, b.now+b.jitter(drainSpread/2, 1))
 }
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -1,6 +1,6 @@
 package balance
 
-// How requests, connections and groups are tracked. Nothing is decided here.
+// Tracking of requests, connections and groups. This file contains no decision logic.
 
 import (
 	"math"
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
 // requestTable holds the requests and connections of this instance.
 type requestTable struct {
 	byID            map[string]*request
-	bySequence      map[uint64]*request // timers name requests by number
+	bySequence      map[uint64]*request // timer tokens are sequence numbers
 	lastSequence    uint64
 	openConnections int
 	groups          map[string]*group
 }
 
-// trackRequest begins to track a request that has come.
+// trackRequest starts tracking a new request.
 func (b *Balancer) trackRequest(q Request) *request {
 	class := b.classes[q.Class]
-	if class == nil { // unknown classes are treated as the first, but never repeated
+	if class == nil { // an unknown class is treated as the first one, but its requests are never repeated
 		c := b.settings.Classes[0]
 		c.Idempotency = NonIdempotent
 		class = &c
@@ -36,8 +36,8 @@
 	return r
 }
 
-// forgetRequest drops all that is kept of r, and admits others in its place.
-func (b *Balancer) forgetRequest(r *request) {
+// removeRequest releases all state of r and admits queued requests in its place.
+func (b *Balancer) removeRequest(r *request) {
 	if r.awaitedServer != nil {
 		r.stopAwaitingProbe()
 	}
@@ -53,14 +53,14 @@
 	b.admitQueued()
 }
 
-// setPhase changes r's phase and counts the requests in set-up, and those of them that draw.
+// setPhase changes r's phase and updates the counts of requests in set-up and of those that are drawing.
 func (b *Balancer) setPhase(r *request, phase requestPhase) {
 	b.admission.countPhase(r.phase, -1)
 	b.admission.countPhase(phase, 1)
 	r.phase = phase
 }
 
-// countPhase counts a request that enters a phase, or leaves it.
+// countPhase adds change to the counts that include requests in the given phase.
 func (a *admission) countPhase(phase requestPhase, change int) {
 	switch phase {
 	case drawing:
@@ -71,22 +71,22 @@
 	}
 }
 
-// removeFromQueue takes r out of the queue. It is served newest first: in a long congestion
-// what had ended would stay at its bottom for good.
+// removeFromQueue removes r from the queue. The queue is served newest first, so under lasting congestion
+// ended requests would otherwise stay at its bottom indefinitely.
 func (a *admission) removeFromQueue(r *request) {
 	if i := slices.Index(a.queue, r); i >= 0 {
 		a.queue = slices.Delete(a.queue, i, i+1)
 	}
 }
 
-// stopAwaitingProbe takes r off the requests that wait for a probe's result.
+// stopAwaitingProbe removes r from the requests that wait for a probe's result.
 func (r *request) stopAwaitingProbe() {
 	s := r.awaitedServer
 	s.waitingRequests = slices.DeleteFunc(s.waitingRequests, func(w *request) bool { return w == r })
 	r.awaitedServer = nil
 }
 
-// recordAttempt counts an attempt of r that is being sent to s.
+// recordAttempt records an attempt of r that is being sent to s.
 func (b *Balancer) recordAttempt(r *request, s *server) {
 	r.server, r.startedAt, r.timerAt = s, b.now, never
 	r.attemptCount++
@@ -102,28 +102,28 @@
 	s.recentAttempts.add(b.now, 1)
 	s.observedAttempts.add(b.now, 1)
 	s.tokensUsed++
-	if b.hasLease() {
+	if b.hasQuota() {
 		b.quota.zone(s.Zone).tokensUsed++
 	}
 }
 
-// releasePlacedLoad takes off what r counts as placed where its attempt was sent, since that
-// has come to nothing, and returns that server.
+// releasePlacedLoad subtracts the load that was counted for r's latest attempt, after the attempt has failed
+// or was abandoned, and returns the server of the attempt.
 func (r *request) releasePlacedLoad(now time.Duration) *server {
 	s := r.server
 	r.server = nil
 	if s != nil {
-		s.placedLoad.add(now, -r.addedLoad*decay(now-r.startedAt, s.placedLoad.timeConstant))
+		s.placedLoad.add(now, -r.addedLoad*decayFactor(now-r.startedAt, s.placedLoad.timeConstant))
 	}
 	return s
 }
 
-// attachConnection records r as an open connection at s.
+// attachConnection records r as an open connection to s.
 func (b *Balancer) attachConnection(r *request, s *server) {
 	b.setPhase(r, established)
 	r.server, r.startedAt = s, b.now
-	// Timers set before are void: one that was still to come once migrated the connection that
-	// it had helped to place.
+	// Timers set before are void. Otherwise a pending timer from the placement, such as a probe timeout,
+	// would be taken for the migration timer and migrate the new connection.
 	r.timerAt = never
 	r.connectionIndex = len(s.connections)
 	s.connections = append(s.connections, r)
@@ -149,7 +149,7 @@
 	b.servers.removeIfGone(s)
 }
 
-// migrate ends the open connection r gracefully, once.
+// migrate ends the open connection r gracefully. Repeated calls have no effect.
 func (b *Balancer) migrate(r *request) {
 	if !r.migrating {
 		r.migrating = true
@@ -157,7 +157,7 @@
 	}
 }
 
-// joinGroup counts a member of a group that was placed at s.
+// joinGroup adds a member to a group and records s as the server of its latest placement.
 func (t *requestTable) joinGroup(name string, s *server) {
 	g := t.groups[name]
 	if g == nil {
@@ -168,7 +168,7 @@
 	g.members++
 }
 
-// leaveGroup counts a member that has ended, and forgets a group without members.
+// leaveGroup removes a member from a group, and the group if it has no members left.
 func (t *requestTable) leaveGroup(name string) {
 	g := t.groups[name]
 	if g == nil {
--- a/balance/serverlist.go
+++ b/balance/serverlist.go
@@ -1,7 +1,7 @@
 package balance
 
-// The servers, those that are ready, and the ring on which groups find theirs. Nothing is
-// decided here.
+// The servers, the ready ones among them, and the hash ring for groups and subsets. This file contains no
+// decision logic.
 
 import (
 	"cmp"
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// serverList holds the servers of this instance.
+// serverList holds the servers in this instance's view.
 type serverList struct {
 	byID  map[string]*server
 	ready []*server // draws are uniform over these
 	ring  []*server // the ready servers, ordered by ring hash
 }
 
-// add returns a new server that is not ready. Attempts count for attemptTime.
-func (l *serverList) add(id string, attemptTime time.Duration) *server {
+// add adds a server that is not ready and returns it. attemptTimeConstant is the decay of its recent
+// attempts.
+func (l *serverList) add(id string, attemptTimeConstant time.Duration) *server {
 	s := &server{readyIndex: -1, reportedLoad: -1, ringHash: ringHash(id)}
 	s.placedLoad.timeConstant = reportDelay
 	s.recentFaults.timeConstant = faultDecay
-	s.recentAttempts.timeConstant = attemptTime
+	s.recentAttempts.timeConstant = attemptTimeConstant
 	s.observedAttempts.timeConstant = observationDecay
 	s.observedFailures.timeConstant = observationDecay
 	l.byID[id] = s
@@ -44,29 +45,29 @@
 	}
 }
 
-// removeFromRing takes s off the ring.
+// removeFromRing removes s from the ring.
 func (l *serverList) removeFromRing(s *server) {
 	i := l.ringIndex(s.ringHash)
-	for l.ring[i] != s { // another one with the same hash
+	for l.ring[i] != s { // another server with the same hash
 		i++
 	}
 	l.ring = slices.Delete(l.ring, i, i+1)
 }
 
-// removeIfGone forgets s once it is gone and holds no connection.
+// removeIfGone deletes s if it is gone and holds no connection.
 func (l *serverList) removeIfGone(s *server) {
 	if s.State == Gone && len(s.connections) == 0 && l.byID[s.ID] == s {
 		delete(l.byID, s.ID)
 	}
 }
 
-// ringIndex is the index on the ring of the first server at or after the hash.
+// ringIndex is the index of the first server on the ring whose hash is not below the given one.
 func (l *serverList) ringIndex(hash uint64) int {
 	i, _ := slices.BinarySearchFunc(l.ring, hash, func(s *server, h uint64) int { return cmp.Compare(s.ringHash, h) })
 	return i
 }
 
-// AvoidedServers counts the listed servers that are left out of all or of most draws.
+// AvoidedServers counts the listed servers that are excluded from all or more than half of their draws.
 func (b *Balancer) AvoidedServers() (count int) {
 	for _, s := range b.servers.byID {
 		if s.State != Gone && (!s.isReady() || b.faultShare(s)*b.zoneShare(s) < 0.5) {
@@ -76,8 +77,8 @@
 	return count
 }
 
-// ringHash is FNV-1a with a final mix, which spreads short names that differ in their last
-// letters only.
+// ringHash is FNV-1a with a finalizer, which spreads the hashes of short names that differ only in their last
+// characters.
 func ringHash(name string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -1,40 +1,40 @@
 package balance
 
-// What an instance is set to at its start, or anew later. Nothing is decided here.
+// Settings of an instance, given at its start or changed later. This file contains no decision logic.
 
 import (
 	"fmt"
 	"time"
 )
 
-// Settings configure an instance. Zero values of optional fields mean what their comments say.
+// Settings configures an instance. The comments give the meaning of zero values where a field is optional.
 type Settings struct {
-	Instance             int           // this instance's number among its peers, from 0
-	Instances            int           // how many instances there are; 0 means 1
-	Tick                 time.Duration // events come at most this often
-	Classes              []Class       // request classes; at least one
-	SubscribeRequired    bool          // the server list comes only after a Subscribe
-	SubscribeTimeout     time.Duration // a Subscribe without an answer is repeated after this, 1 s at least
-	SubscribeImmediately bool          // this instance starts alone and need not spread its first call
-	ListPushed           bool          // the list service tells changes by itself; whoever holds the list's lease goes by it
-	Processes            int           // that place for this instance, each by itself; 0 means 1
+	Instance             int           // this instance's number among all instances, from 0
+	Instances            int           // number of instances; 0 means 1
+	Tick                 time.Duration // minimum time between events
+	Classes              []Class       // at least one
+	SubscribeRequired    bool          // the server list is sent only after a Subscribe
+	SubscribeTimeout     time.Duration // until an unanswered Subscribe is repeated; at least 1 s
+	SubscribeImmediately bool          // this instance starts alone, so its first call need not be spread
+	ListPushed           bool          // the list service pushes changes, on which the list lease relies
+	Processes            int           // processes that each place for this instance; 0 means 1
 	Rules                Rules
 	Limits               Limits
 	LoadReporting        LoadReporting
 	Connections          ConnectionTraits
 }
 
-// Idempotency says whether a request may be repeated once it may have run.
+// Idempotency describes whether a request that may have run may be repeated.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent       Idempotency = iota // may be repeated freely
-	IdempotencyKeyed                    // some servers drop repeats by key, for a while
+	Idempotent       Idempotency = iota // may be repeated
+	IdempotencyKeyed                    // some servers drop repeats by key, for a limited time
 	NonIdempotent                       // must not be repeated
 )
 
-// KeyScope is the group of servers that drops the repeats of a keyed request.
+// KeyScope is the group of servers that drop the repeats of a keyed request.
 type KeyScope int
 
 // The scopes of idempotency keys.
@@ -44,56 +44,57 @@
 	ScopeCell
 )
 
-// Class describes one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name                    string
-	LatencyObjective        time.Duration // set-up wanted within; 0 if not set
-	Deadline                time.Duration // clients wait no longer
-	MessageLatencyObjective time.Duration // a message on an open connection wanted within; 0 if not set
+	LatencyObjective        time.Duration // for the connection set-up; 0 if not set
+	Deadline                time.Duration // the longest time that clients wait
+	MessageLatencyObjective time.Duration // for a message on an open connection; 0 if not set
 	Idempotency             Idempotency
 	KeyScope                KeyScope      // for IdempotencyKeyed
-	KeyWindow               time.Duration // for IdempotencyKeyed: how long servers remember keys
+	KeyWindow               time.Duration // for IdempotencyKeyed: how long servers remember a key
 }
 
-// Rules are the parameters of the four rules that no decision may break.
+// Rules are the parameters of the four rules that every decision must keep.
 type Rules struct {
-	AnswerGrace      time.Duration // a final answer still counts this long after the deadline
-	DrainGrace       time.Duration // attempts at a draining or gone server end within
-	InitialCapacity  float64       // a server starts with at least this share of its capacity
-	SlowStartWindow  time.Duration // and is warm after at most this
-	OverloadMultiple float64       // more than this multiple of a cold server's capacity,
-	OverloadDuration time.Duration // for this long, makes it fail
+	AnswerGrace      time.Duration // a final answer is still valid this long after the deadline
+	DrainGrace       time.Duration // attempts at a draining or removed server must end within this time
+	InitialCapacity  float64       // minimum share of its capacity that a server starts with
+	SlowStartWindow  time.Duration // a server is warm after at most this time
+	OverloadMultiple float64       // a cold server fails above this multiple of its capacity
+	OverloadDuration time.Duration // how long an overload must last for the server to fail
 }
 
-// Limits are what an instance may do.
+// Limits restrict what an instance may do.
 type Limits struct {
 	ProbesAllowed  bool
 	SendRetryAfter bool // clients receive the RetryAfter of a Reject
-	MaxAttempts    int  // of a request; 0 means 1
+	MaxAttempts    int  // per request; 0 means 1
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
-	// ProbeConnections is how many connections this instance can keep for probes; 0 for any number. It
-	// is not in the settings: the process knows it.
+	// ProbeConnections is the number of connections that this instance can use for probes; 0 for no limit.
+	// It is not part of the configured settings: the process determines it.
 	ProbeConnections int
 }
 
-// LoadReporting says how load reports come.
+// LoadReporting describes how load reports are received.
 type LoadReporting struct {
-	InOutcomes     bool // in the outcomes of attempts as well as in probe results
-	InProbeResults bool
+	InOutcomes     bool // in the outcomes of attempts
+	InProbeResults bool // in probe results
 }
 
-// ConnectionTraits holds facts about the connections.
+// ConnectionTraits describes properties of the connections.
 type ConnectionTraits struct {
 	GroupAffinity bool // connections of one group share work on a server
 }
 
-// SettingsError names a setting that an instance can't work with.
+// SettingsError reports a setting that is not valid.
 type SettingsError struct {
 	Section string // of the settings; empty for the settings as a whole
 	Reason  string
 }
 
+// Error implements error.
 func (e *SettingsError) Error() string {
 	if e.Section == "" {
 		return "settings: " + e.Reason
@@ -101,7 +102,7 @@
 	return "settings: " + e.Section + ": " + e.Reason
 }
 
-// Validate returns a [*SettingsError] for the first setting that an instance can't work with.
+// Validate returns a [*SettingsError] for the first setting that is not valid.
 func (s *Settings) Validate() error {
 	rules := &s.Rules
 	switch {
@@ -120,19 +121,19 @@
 	return nil
 }
 
-// applySettings takes settings. Requests under way keep their class, which is the old settings'.
+// applySettings replaces the settings. Requests in progress keep their class of the previous settings.
 func (b *Balancer) applySettings(settings Settings) {
 	settings.Instances = max(settings.Instances, 1)
 	settings.Processes = max(settings.Processes, 1)
 	settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, 1)
 	b.settings = settings
 
-	budgetTime := max(settings.Rules.OverloadDuration, reportDelay)
-	b.fleet.recentPlacements.timeConstant = budgetTime
-	b.fleet.baselinePlacements.timeConstant = 10 * budgetTime
-	b.fleet.retries.timeConstant = 10 * budgetTime
+	budgetWindow := max(settings.Rules.OverloadDuration, reportDelay)
+	b.fleet.recentPlacements.timeConstant = budgetWindow
+	b.fleet.baselinePlacements.timeConstant = 10 * budgetWindow
+	b.fleet.retries.timeConstant = 10 * budgetWindow
 	for _, s := range b.servers.byID {
-		s.recentAttempts.timeConstant = budgetTime
+		s.recentAttempts.timeConstant = budgetWindow
 	}
 
 	b.classes = make(map[string]*Class, len(settings.Classes))
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,7 +1,7 @@
 package balance
 
-// How much may a server be sent that has just started? What it can bear grows over the slow start
-// window, and all instances together keep to its budget.
+// Slow start: how many attempts a server may receive after it has started. Its capacity grows over the slow
+// start window, and all instances together must keep to its budget.
 
 import (
 	"math"
@@ -10,28 +10,31 @@
 
 const (
 	// slowStartBudgetFraction is the part of a cold server's budget that all instances together use on
-	// average. The rest is for chance, as heavy connections come in any order, and for the draws that a
-	// request has beyond its first.
+	// average. The rest is a margin for random variation, as heavy connections arrive in any order, and for
+	// the draws that a request makes beyond its first.
 	slowStartBudgetFraction = 0.5
-	// maxSpareAttempts is how many attempts, on top of the first, a cold server's budget at one instance
-	// holds at least where the instances are few: what so few weigh is chance.
-	maxSpareAttempts = 3.0
-	// fleetSpareAttempts is how many it holds at least at all instances together, and minSpareAttempts at
-	// one of many, on top of the first.
-	fleetSpareAttempts = 32.0
-	minSpareAttempts   = 0.5
-	// waveWindows is how many windows of a budget the clients that a server has dropped take to come again.
-	waveWindows = 1
-	// spareTime is how long the floors of all instances are for, at the least: what wave they let pass comes
-	// within less.
-	spareTime = 1500 * time.Millisecond
+	// maxExtraAttempts limits extraAttempts where there are few instances: the little that so few instances
+	// send beyond the budget is within random variation.
+	maxExtraAttempts = 3.0
+	// fleetExtraAttempts is divided by the number of instances to get the attempts, the first included, that
+	// each instance may send to a cold server beyond its budget. minExtraAttempts is the minimum, on top of
+	// the first, at each of many instances.
+	fleetExtraAttempts = 32.0
+	minExtraAttempts   = 0.5
+	// reconnectWaveWindows is how many budget windows it takes the clients that a server has dropped to
+	// reconnect.
+	reconnectWaveWindows = 1
+	// extraAttemptsPeriod is the minimum time that the extra attempts of all instances together are meant
+	// for. A reconnect wave that they admit arrives within less time.
+	extraAttemptsPeriod = 1500 * time.Millisecond
 )
 
-// hasCapacity reports whether s may be sent one more attempt, of r: it is ready, its zone has a token left
-// and, while it is cold, its budget at this instance holds one more. Its share of the draws keeps to
-// the budget on average; but a wave is known only when it has come, many requests wait for one probe,
-// and a request draws more than once. What was sent to it decays over the time that the budget is for,
-// so that this much at once and this much again in that time are the whole budget.
+// hasCapacity reports whether one more attempt, of r, may be sent to s: s is ready, its zone has a token left
+// and, while s is cold, its budget at this instance allows one more. The reduced share of its draws keeps to
+// the budget on average only: a wave is detected only after it has arrived, many requests may wait for one
+// probe, and a request draws more than once. recentAttempts decays with the time constant that the budget is
+// for, so a burst up to the limit and as many attempts again within that time add up to the whole budget,
+// of which slowStartBudget is the part slowStartBudgetFraction.
 func (b *Balancer) hasCapacity(r *request, s *server) bool {
 	if !s.isReady() || !b.zoneHasTokens(s) {
 		return false
@@ -40,61 +43,67 @@
 	if capacity >= 1 {
 		return true
 	}
-	if b.hasLease() { // one budget for the whole fleet
+	if b.hasQuota() { // one budget for the whole fleet
 		return s.tokensUsed < s.tokens && b.now < b.quota.tokensExpireAt
 	}
 	budget := b.slowStartBudget(s, capacity)
 	limit := budget - 1
-	if !isOfWave(r) || b.hasTurn(s, b.waveShare()) {
-		limit = max(limit, b.spareAttempts())
+	if !isReconnectOrRetry(r) || b.isInstanceEligible(s, b.eligibleInstanceShare()) {
+		limit = max(limit, b.extraAttempts())
 	}
 	return s.recentAttempts.value(b.now) <= limit
 }
 
-// isOfWave reports whether r may be one of many that come at once: its client has come again, or an attempt
-// has failed.
-func isOfWave(r *request) bool { return r.Reconnecting || r.ClientRetry || r.attemptCount > 0 }
+// isReconnectOrRetry reports whether r may be part of a wave of simultaneous requests: its client reconnects
+// or retries, or an attempt of it has failed.
+func isReconnectOrRetry(r *request) bool {
+	return r.Reconnecting || r.ClientRetry || r.attemptCount > 0
+}
 
-// waveShare is the share of the instances that may send to a cold server in a wave, in each window that its
-// budget is for. Just after a server has dropped its connections it is the part that the settings' time is of
-// spareTime: the floor that all instances have, of one attempt and more at each, is for that long.
-func (b *Balancer) waveShare() float64 {
+// eligibleInstanceShare is the share of the instances that, in a reconnect wave, may exceed their budgets for
+// a cold server by their extraAttempts in one budget window. It is 1, except just after a server has reset
+// established connections: then it is the ratio of the budget window to extraAttemptsPeriod. The minimum that
+// each instance may send, of one attempt and more, is meant for that period in total rather than for each
+// window.
+func (b *Balancer) eligibleInstanceShare() float64 {
 	window := b.fleet.recentPlacements.timeConstant
-	if b.now-b.fleet.lastResetAt >= waveWindows*window {
+	if b.now-b.fleet.lastResetAt >= reconnectWaveWindows*window {
 		return 1
 	}
-	return window.Seconds() / spareTime.Seconds()
+	return window.Seconds() / extraAttemptsPeriod.Seconds()
 }
 
-// hasTurn reports whether this instance is one of those that may send to a cold server in the present window
-// of its budget, where that is a share of them. The server's name and the number of the window say which
-// instances have the turn, so that all agree on it without a word, and each has one as often.
-func (b *Balancer) hasTurn(s *server, share float64) bool {
+// isInstanceEligible reports whether this instance is among the given share of instances that may exceed
+// their budgets for the cold server s in the current budget window. The selection depends only on the
+// server's name and the number of the window, so all instances agree on it without communication, and the
+// golden ratio makes every instance eligible equally often.
+func (b *Balancer) isInstanceEligible(s *server, share float64) bool {
 	window := math.Floor((b.now - s.StartedAt).Seconds() / s.recentAttempts.timeConstant.Seconds())
 	offset := float64(ringHash(s.ID)>>32) / (1 << 32)
 	position := offset + float64(b.settings.Instance)/float64(max(b.settings.Instances, 1)) + window*math.Phi
 	return position-math.Floor(position) < share
 }
 
-// spareAttempts is how many attempts, on top of the first, a cold server's budget at this process holds at
-// least. An instance's processes share it, and all instances do: what few instances send beyond the budget
-// is chance, but as many as each may send in a wave, at dozens of instances, topple the server.
-func (b *Balancer) spareAttempts() float64 {
-	shared := fleetSpareAttempts/float64(max(b.settings.Instances, 1)) - 1
-	return min(max(shared, minSpareAttempts), maxSpareAttempts) / float64(b.settings.Processes)
+// extraAttempts is the minimum number of attempts, on top of the first, that a cold server's budget at this
+// process allows. It is divided among the instances, and among the processes of an instance. What a few
+// instances send beyond the budget is within random variation; but if each of dozens of instances sent as
+// many in a wave, the server would be overloaded.
+func (b *Balancer) extraAttempts() float64 {
+	shared := fleetExtraAttempts/float64(max(b.settings.Instances, 1)) - 1
+	return min(max(shared, minExtraAttempts), maxExtraAttempts) / float64(b.settings.Processes)
 }
 
-// slowStartBudget is how many attempts, in the time that a cold server's budget is for, s may be sent by
-// this instance's own traffic.
+// slowStartBudget is the number of attempts that this instance, by its own traffic, may send to s within the
+// time constant of a cold server's budget.
 func (b *Balancer) slowStartBudget(s *server, capacity float64) float64 {
-	drawn := float64(max(b.drawSubset().size, 1)) // its traffic goes to these
-	return b.slowStartPlacementRate(capacity) / drawn * s.recentAttempts.timeConstant.Seconds()
+	subsetSize := float64(max(b.drawSubset().size, 1)) // this instance's traffic is spread over these servers
+	return b.slowStartPlacementRate(capacity) / subsetSize * s.recentAttempts.timeConstant.Seconds()
 }
 
-// slowStartDrawShare is the part of its draws that a cold server of the given capacity may get so that its
-// budget holds. What is sent now may be far more than usual, in a reconnect wave, so the recent rate is
-// set against the rate of first arrivals, which no wave of ours changes: of those that were sent, as
-// more may come than a full fleet can take.
+// slowStartDrawShare is the share of its draws that a cold server of the given capacity may keep within its
+// budget: the slow start placement rate over the recent placement rate. The recent rate may be far above the
+// usual one in a reconnect wave, whereas the slow start rate is based on first arrivals, which a wave does
+// not change. It counts only first arrivals that were sent, as more may arrive than a full fleet can accept.
 func (b *Balancer) slowStartDrawShare(capacity float64) float64 {
 	recent := b.fleet.recentPlacements.rate(b.now)
 	if recent <= 0 {
@@ -103,25 +112,26 @@
 	return b.slowStartPlacementRate(capacity) / recent
 }
 
-// slowStartPlacementRate is the rate of placements in the fleet, a second, at which each server would get
-// what a cold one of the given capacity may. At its usual rate and load a fleet sends a warm server
-// rate/load of new work when it is full; a cold one can take capacity times that, and fails beyond
-// OverloadMultiple times that.
+// slowStartPlacementRate is the rate of this instance's placements, per second, at which an even share of
+// them would be as many as a cold server of the given capacity may receive. At the usual rate the servers
+// reach the fleet's mean load, so usualRate/load is the rate that would fill warm servers. A cold server can
+// take capacity times its share of that, and fails beyond OverloadMultiple times as many. The result is
+// slowStartBudgetFraction of this limit.
 func (b *Balancer) slowStartPlacementRate(capacity float64) float64 {
 	baseline := &b.fleet.baselinePlacements
-	counted := 1 - decay(b.now-b.startedAt+time.Second, baseline.timeConstant)
-	usual := baseline.rate(b.now) / counted
-	// Where connections outlive the slow start window, a server can take them faster than the usual
-	// rate: as fast as fills it within the window. One that holds nothing and knows no usual rate yet
-	// goes by one connection: none would serve nobody.
+	observedFraction := 1 - decayFactor(b.now-b.startedAt+time.Second, baseline.timeConstant)
+	usualRate := baseline.rate(b.now) / observedFraction
+	// If connections last longer than the slow start window, a server can accept them faster than the usual
+	// rate: as fast as fills it within the window. An instance without open connections, which has no usual
+	// rate yet either, assumes one connection: at a rate of 0 it would place no request.
 	rules := &b.settings.Rules
 	open := float64(max(b.requests.openConnections, 1))
-	usual = max(usual, open/max(rules.SlowStartWindow, reportDelay).Seconds())
+	usualRate = max(usualRate, open/max(rules.SlowStartWindow, reportDelay).Seconds())
 	load := max(b.fleet.meanLoad, minLowLoad)
-	return slowStartBudgetFraction * rules.OverloadMultiple * capacity * usual / load
+	return slowStartBudgetFraction * rules.OverloadMultiple * capacity * usualRate / load
 }
 
-// capacityShare estimates the share of its capacity that a server has by now; 1 once it is warm.
+// capacityShare estimates the share of its capacity that a server has now; 1 once it is warm.
 func (b *Balancer) capacityShare(s *server) float64 {
 	age, window := b.now-s.StartedAt, b.settings.Rules.SlowStartWindow
 	if s.StartedAt <= 0 || age >= window {
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,21 +1,21 @@
 package balance
 
-// What an instance remembers, by concern. Nothing is decided here.
+// State of an instance, by concern. This file contains no decision logic.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// Balancer decides for one instance. It is not safe for concurrent use.
+// Balancer makes the decisions of one instance. It is not safe for concurrent use.
 type Balancer struct {
 	settings         Settings
 	classes          map[string]*Class
-	serviceTimeLimit time.Duration // the shortest message objective; 0 if no class has one
+	serviceTimeLimit time.Duration // the shortest message latency objective; 0 if no class has one
 
 	rng     *rand.Rand
-	now     time.Duration // time of the event being handled; never falls
-	actions []Action      // that answer it
+	now     time.Duration // time of the current event; never decreases
+	actions []Action      // result of the current event
 
 	started           bool
 	startedAt         time.Duration
@@ -31,53 +31,53 @@
 	subscription subscription
 }
 
-// admission limits how many requests are set up at a time.
+// admission limits the number of concurrent connection set-ups.
 type admission struct {
-	queue         []*request // waiting to draw; the newest is last
-	inSetup       int        // requests that draw or whose attempt is out
-	drawing       int        // those of them that draw
-	window        float64    // as many may be in set-up at once
+	queue         []*request // waiting for admission; the newest is last
+	inSetup       int        // requests that are drawing or have an attempt in progress
+	drawing       int        // those of inSetup that are drawing
+	window        float64    // the maximum of inSetup
 	failureRate   float64    // share of recent attempts that failed
 	backoff       time.Duration
-	backoffEndsAt time.Duration // no request is admitted before
+	backoffEndsAt time.Duration // no request is admitted before then
 }
 
-// fleetEstimate is what this instance has learned of the fleet as a whole.
+// fleetEstimate is what this instance has learned about the fleet as a whole.
 type fleetEstimate struct {
-	lastResetAt  time.Duration // when a server last dropped a connection that had stood
+	lastResetAt  time.Duration // when a server last reset a connection established for at least earlyResetAge
 	meanLoad     float64       // of recent load reports
-	loadSamples  float64       // reports that meanLoad is taken from, up to maxLoadSamples
-	fewestFaults float64       // recent faults of the ready server that has the fewest
+	loadSamples  float64       // number of reports that meanLoad averages, up to maxLoadSamples
+	fewestFaults float64       // the smallest number of recent faults of any ready server
 
-	probeRTT          float64 // usual round-trip time of a probe, in seconds; 0 before the first
-	probeRTTDeviation float64 // and its mean deviation, in seconds
+	probeRTT          float64 // average round-trip time of a probe, in seconds; 0 before the first
+	probeRTTDeviation float64 // its mean deviation, in seconds
 
 	meanHint    float64 // mean load hint of connections
-	hintSamples float64 // hints that meanHint is taken from, up to maxHintSamples
+	hintSamples float64 // number of hints that meanHint averages, up to maxHintSamples
 
-	recentPlacements   decayingCounter // attempts sent of late
+	recentPlacements   decayingCounter // recent attempts
 	baselinePlacements decayingCounter // first attempts of first arrivals, over a longer time
 	retries            decayingCounter // attempts beyond a request's first
 }
 
-// migrationBudget bounds how many connections are migrated; it is refilled with time.
+// migrationBudget limits the number of migrations; it is refilled over time.
 type migrationBudget struct {
 	available  float64
 	refilledAt time.Duration
 }
 
-// subscription follows the subscription to the server list.
+// subscription is the state of the subscription to the server list.
 type subscription struct {
-	active       bool
-	listReceived bool // a list has come since the start
-	failures     int  // calls that failed since there was a list
-	waitedCalls  int  // those of them that waited in vain
-	nextCallAt   time.Duration
-	leaseEndsAt  time.Duration // when the list may not be relied on any more; 0 for never
-	leaseEnded   bool          // that was acted on
+	active        bool
+	listReceived  bool // a list has been received since the start
+	failures      int  // failed calls since the last list
+	queueTimeouts int  // those of failures that timed out in the list service's queue
+	nextCallAt    time.Duration
+	leaseEndsAt   time.Duration // when the list expires; 0 for never
+	expiryHandled bool          // the expiry has been acted on
 }
 
-// server is what this instance knows of a server.
+// server is the state of a server in this instance's view.
 type server struct {
 	ServerEntry
 	ringHash   uint64
@@ -85,32 +85,32 @@
 
 	probeInFlight   bool
 	probedAt        time.Duration
-	probeDueAt      time.Duration // to be probed by then if it holds connections
-	waitingRequests []*request    // held for the probe's result
+	probeDueAt      time.Duration // when it is probed at the latest if it holds connections
+	waitingRequests []*request    // waiting for the probe's result
 
-	reportedLoad      float64         // as last reported; -1 if unknown
-	loadPerConnection float64         // by that report; 0 if unknown
-	placedLoad        decayingCounter // load placed here that reports may not show yet
-	recentFaults      decayingCounter // failures seen here or reported by the fleet
-	recentAttempts    decayingCounter // attempts sent, over the time of a cold server's budget
+	reportedLoad      float64         // -1 if unknown
+	loadPerConnection float64         // according to that report; 0 if unknown
+	placedLoad        decayingCounter // load placed here that reports may not include yet
+	recentFaults      decayingCounter // failures observed here or reported by the fleet
+	recentAttempts    decayingCounter // attempts sent, within the time constant of a cold server's budget
 
-	// What this instance itself saw of late, for its peers. Probes that are answered don't
-	// count: they say little.
+	// Recent observations of this instance, reported to its peers. Answered probes do not count, as they
+	// say little about whether connections are served.
 	observedAttempts decayingCounter // attempts and failed probes
-	observedFailures decayingCounter // those of them that failed
+	observedFailures decayingCounter // those of observedAttempts that failed
 
-	tokens     int // attempts that the fleet grants while the server is cold
+	tokens     int // attempts that the fleet allots while the server is cold
 	tokensUsed int // attempts sent in the period of the tokens
 
 	connections     []*request
 	nextRebalanceAt time.Duration
 }
 
-// isReady reports whether new connections may be drawn to the server.
+// isReady reports whether new connections may be placed on the server.
 func (s *server) isReady() bool { return s.readyIndex >= 0 }
 
-// forgetProcess drops what is known of the server's process, as another one runs now.
-func (s *server) forgetProcess() {
+// resetProcessState clears the state of the server's previous process after the process was replaced.
+func (s *server) resetProcessState() {
 	s.reportedLoad, s.loadPerConnection = -1, 0
 	s.probeInFlight = false
 	s.placedLoad.sum = 0
@@ -121,59 +121,59 @@
 	s.tokens, s.tokensUsed = 0, 0
 }
 
-// group is what this instance holds of a group of connections.
+// group is the state of a group of connections at this instance.
 type group struct {
-	lastServer *server // where its latest member was placed
+	lastServer *server // of its latest placement
 	members    int
 }
 
-// requestPhase is where a request stands.
+// requestPhase is the state of a request.
 type requestPhase int
 
 const (
 	queued      requestPhase = iota // waits for admission
 	drawing                         // waits for a probe's result
-	attempting                      // an attempt is out
-	established                     // its connection stands
+	attempting                      // an attempt is in progress
+	established                     // the connection is established
 	ended
 )
 
-// request is a request or the connection it became.
+// request is a request, or the connection that it has become.
 type request struct {
 	Request
-	sequence       uint64 // names the request in timers
+	sequence       uint64 // used as the token of its timers
 	class          *Class
 	phase          requestPhase
-	answerDeadline time.Duration // to be placed or answered by then
-	timerAt        time.Duration // when its timer is due; a timer that fires before is stale
-	loadFactor     float64       // its load hint over the mean of hints, or 1
+	answerDeadline time.Duration // the request must be placed or answered by then
+	timerAt        time.Duration // when its timer expires; a timer that fires earlier is stale
+	loadFactor     float64       // ratio of its load hint to the mean hint, or 1
 
 	round         drawRound
-	awaitedServer *server // whose probe result it waits for
+	awaitedServer *server // the server whose probe result it waits for
 
 	attemptCount    int
-	excludedServers []*server     // where an attempt has failed
-	server          *server       // where its attempt or connection is
+	excludedServers []*server     // servers on which an attempt failed
+	server          *server       // the server of its current attempt or connection
 	startedAt       time.Duration // when its attempt was sent, then when its connection was established
-	addedLoad       float64       // counted in the server's placedLoad for its latest attempt
-	mayHaveRunOn    *server       // of the first attempt that may have run
+	addedLoad       float64       // load counted in the server's placedLoad for its latest attempt
+	mayHaveRunOn    *server       // the server of the first attempt that may have run
 	mayHaveRunAt    time.Duration // when that attempt was sent
 
 	connectionIndex int // index in server.connections while established
 	migrating       bool
 }
 
-// drawRound is what a request's draws have shown since it was last admitted.
+// drawRound is the state of a request's draws since it was last queued for admission.
 type drawRound struct {
 	draws           int
-	servers         []*server // drawn or probed for affinity, each once
-	best            *server   // the least loaded of those that answered
+	servers         []*server // drawn or probed for affinity, without duplicates
+	best            *server   // the least loaded server that answered
 	bestLoad        float64
-	tryingAffinity  bool      // the draws have decided on best; its group's servers go before it
-	affinityServers []*server // that are still to be tried
+	tryingAffinity  bool      // the draws have chosen best; the group's servers are tried before it
+	affinityServers []*server // still to be tried
 }
 
-// reset begins another round.
+// reset starts a new round.
 func (d *drawRound) reset() {
 	d.draws = 0
 	d.servers = d.servers[:0]
@@ -185,7 +185,7 @@
 // awaitsPlacement reports whether r waits for admission or for a probe's result.
 func (r *request) awaitsPlacement() bool { return r.phase == queued || r.phase == drawing }
 
-// keyWindowEndsAt is when servers stop dropping repeats of r; never if none need be dropped.
+// keyWindowEndsAt is when servers stop dropping repeats of r; never if no repeats need to be dropped.
 func (r *request) keyWindowEndsAt() time.Duration {
 	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotencyKeyed {
 		return r.mayHaveRunAt + r.class.KeyWindow
@@ -193,5 +193,5 @@
 	return never
 }
 
-// decisionDeadline is when r has to be decided about at the latest.
+// decisionDeadline is the latest time for a decision about r.
 func (r *request) decisionDeadline() time.Duration { return min(r.answerDeadline, r.keyWindowEndsAt()) }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,19 +1,19 @@
 package balance
 
-// Which of the ready servers does this instance draw from? From all of them, unless there are more than
-// it can keep probe connections to: then from a part of the ring, a stretch for each instance, so that
-// all instances together draw from every server equally often (deterministic subsetting).
+// Deterministic subsetting: which of the ready servers an instance draws from. It draws from all of them
+// unless there are more than it can keep probe connections to. In that case it draws from a segment of the
+// ring; the segments of all instances together cover every server equally often.
 
 const (
-	// subsetFraction is the part of an instance's probe connections that its subset may take. The rest
-	// is for servers outside it: homes of groups, and those that hold connections.
+	// subsetFraction is the part of an instance's probe connections that its subset may use. The rest is for
+	// servers outside the subset: candidates for groups, and servers that hold connections.
 	subsetFraction = 0.5
-	// minSubsetOverlap is how many instances draw from a server at least. Few would pass on the
-	// unevenness of their own traffic.
+	// minSubsetOverlap is the minimum number of instances that draw from each server. With fewer, a server
+	// would be exposed to the uneven traffic of single instances.
 	minSubsetOverlap = 16
 )
 
-// subset is a stretch of the ring.
+// subset is a segment of the ring.
 type subset struct {
 	start, size int
 }
@@ -21,8 +21,8 @@
 // wholeFleet is the subset of all ready servers.
 func (b *Balancer) wholeFleet() subset { return subset{size: len(b.servers.ready)} }
 
-// drawSubset is the subset that this instance draws from. Instances are spread evenly over the ring,
-// whose order is the same for all; one that starts or leaves moves a stretch by a server at most.
+// drawSubset is the subset that this instance draws from. The segments are evenly spaced on the ring, whose
+// order is the same for all instances. A server that starts or leaves shifts a segment by at most one server.
 func (b *Balancer) drawSubset() subset {
 	ready, instances := len(b.servers.ready), b.settings.Instances
 	limit := b.settings.Limits.ProbeConnections
@@ -33,11 +33,11 @@
 	if size >= ready {
 		return b.wholeFleet()
 	}
-	number := ((b.settings.Instance % instances) + instances) % instances
-	return subset{start: number * ready / instances, size: size}
+	instance := ((b.settings.Instance % instances) + instances) % instances
+	return subset{start: instance * ready / instances, size: size}
 }
 
-// drawUniformly draws a server of a subset.
+// drawUniformly draws a server uniformly from a subset.
 func (b *Balancer) drawUniformly(from subset) *server {
 	index := b.rng.IntN(from.size)
 	if from.size == len(b.servers.ready) {
