--- a/balance/admission.go
+++ b/balance/admission.go
@@ -125,8 +125,9 @@
 }
 
 // reduceWindow reacts to a sign that the fleet is congested, rather than a single server faulty: all draws of
-// a round were full, or most attempts fail whatever their server. More attempts would add to the congestion,
-// so fewer are made concurrently, after a pause that doubles with each further sign.
+// a round were full, most attempts fail whatever their server, or a connection was reset early. More attempts
+// would add to the congestion, so fewer are made concurrently, after a pause that doubles with each further
+// sign.
 func (b *Balancer) reduceWindow() {
 	a := &b.admission
 	if b.now < a.backoffEndsAt {
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -43,8 +43,8 @@
 	return servers
 }
 
-// tryNextAffinityServer probes the next candidate for r's group. If there is none left, it sends r to the
-// server that the draws have chosen.
+// tryNextAffinityServer probes the next candidate for r's group. If none is left, or the next one is the
+// server that the draws have chosen, it sends r to the latter.
 func (b *Balancer) tryNextAffinityServer(r *request) {
 	for len(r.round.affinityServers) > 0 {
 		s := r.round.affinityServers[0]
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -8,8 +8,8 @@
 // A server is one upstream endpoint. The mechanism is P^(1,1,d,d,...) of Czumaj and Stemann, Randomized
 // Allocation Processes (2001); docs/design.md lists every exception to it. The terms are the paper's: a draw
 // is one uniformly chosen server, d is the number of trials, and a server's load is divided into levels. The
-// sequence 1,1,d,d,... gives the threshold of each level: the number of draws after which a request is
-// placed.
+// sequence 1,1,d,d,... gives the threshold of each level: the number of trials after which a server at that
+// level may take the request.
 //
 // The decision logic is in the files that deploy/balancer.toml lists under policy, here in the order in which
 // they apply to a request:
--- a/balance/draw.go
+++ b/balance/draw.go
@@ -15,7 +15,7 @@
 	// trials is d. The paper requires d >= 2. Beyond 3, the least of the readings depends more on chance
 	// than on which server is the least loaded.
 	trials = 3
-	// minLowLoad and maxLowLoad bound the load up to which a server counts as low (level 0 or 1). Below
+	// minLowLoad and maxLowLoad bound the load below which a server counts as low (level 0 or 1). Below
 	// minLowLoad there is nothing to balance; a server above maxLowLoad could be overloaded by a few more
 	// connections, whatever the mean load of the fleet.
 	minLowLoad, maxLowLoad = 0.3, 0.7
@@ -64,8 +64,8 @@
 	}
 	from := b.drawSubset()
 	s := b.drawFrom(from, r)
-	if s == nil && from != b.wholeFleet() { // no server of the subset is allowed for r
-		s = b.drawFrom(b.wholeFleet(), r)
+	if s == nil && from != b.allReadyServers() { // no server of the subset is allowed for r
+		s = b.drawFrom(b.allReadyServers(), r)
 	}
 	if s != nil {
 		return s
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -28,8 +28,8 @@
 	maxOverloadedBackoff = 30 * time.Second
 )
 
-// startSubscription treats a start as a failed call, so that the first calls of instances that start at the
-// same time are spread.
+// startSubscription treats a start as the end of a subscription, so that the first calls are spread if all
+// instances start at the same time.
 func (b *Balancer) startSubscription() {
 	if b.settings.Instances > 1 && !b.settings.SubscribeImmediately {
 		b.subscription.active = true
@@ -39,12 +39,11 @@
 }
 
 // subscribeIfDue calls the list service if there is no subscription and the backoff has passed.
-
 func (b *Balancer) subscribeIfDue() {
 	if !b.settings.SubscribeRequired || b.subscription.active || b.now < b.subscription.nextCallAt {
 		return
 	}
-	// Repeats the call if it gets no answer.
+	// The call is repeated then if it gets no answer.
 	b.subscription.nextCallAt = b.now + max(b.settings.SubscribeTimeout, time.Second)
 	b.emit(Subscribe{})
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -132,7 +132,7 @@
 }
 
 // ConnectionEstablished reports that the connection of an attempt is established. A Latency of 0 means that
-// the server did not have to respond for this, so the event says nothing about the server.
+// no response of the server was waited for, so the event says nothing about the server.
 type ConnectionEstablished struct {
 	ID      string
 	Attempt int
--- a/balance/rebalance.go
+++ b/balance/rebalance.go
@@ -1,6 +1,6 @@
 package balance
 
-// Rebalancing: which connections are migrated. Part of those on an overloaded server are, within a budget,
+// Rebalancing: which connections are migrated, namely some of those on an overloaded server, within a budget,
 // and all of those on a draining server.
 
 import "time"
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,7 +1,7 @@
 package balance
 
-// Slow start: how many attempts a server may receive after it has started. Its capacity grows over the slow
-// start window, and all instances together must keep to its budget.
+// Slow start: how many attempts a server may receive after it has started. A server is cold for the length of
+// the slow start window, over which its capacity grows, and all instances together must keep to its budget.
 
 import (
 	"math"
@@ -33,8 +33,8 @@
 // and, while s is cold, its budget at this instance allows one more. The reduced share of its draws keeps to
 // the budget on average only: a wave is detected only after it has arrived, many requests may wait for one
 // probe, and a request draws more than once. recentAttempts decays with the time constant that the budget is
-// for, so a burst up to the limit and as many attempts again within that time add up to the whole budget,
-// of which slowStartBudget is the part slowStartBudgetFraction.
+// for (the budget window), so a burst up to the limit and as many attempts again within that time add up to
+// the whole budget, of which slowStartBudget is the part slowStartBudgetFraction.
 func (b *Balancer) hasCapacity(r *request, s *server) bool {
 	if !s.isReady() || !b.zoneHasTokens(s) {
 		return false
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -18,8 +18,8 @@
 	start, size int
 }
 
-// wholeFleet is the subset of all ready servers.
-func (b *Balancer) wholeFleet() subset { return subset{size: len(b.servers.ready)} }
+// allReadyServers is the subset of all ready servers.
+func (b *Balancer) allReadyServers() subset { return subset{size: len(b.servers.ready)} }
 
 // drawSubset is the subset that this instance draws from. The segments are evenly spaced on the ring, whose
 // order is the same for all instances. A server that starts or leaves shifts a segment by at most one server.
@@ -27,11 +27,11 @@
 	ready, instances := len(b.servers.ready), b.settings.Instances
 	limit := b.settings.Limits.ProbeConnections
 	if limit <= 0 || ready <= limit {
-		return b.wholeFleet()
+		return b.allReadyServers()
 	}
 	size := max(int(subsetFraction*float64(limit)), (minSubsetOverlap*ready+instances-1)/instances)
 	if size >= ready {
-		return b.wholeFleet()
+		return b.allReadyServers()
 	}
 	instance := ((b.settings.Instance % instances) + instances) % instances
 	return subset{start: instance * ready / instances, size: size}
