--- a/balance/quota.go
+++ b/balance/quota.go
@@ -53,15 +53,15 @@
 
 // ServerUsage is the usage of one server that an instance reports.
 type ServerUsage struct {
-	ID             string        `json:"ID"`
-	Zone           string        `json:"Zone"`
-	Load           float64       `json:"Load"` // last reported load; -1 if unknown
-	StartedAt      time.Duration `json:"Started"`
-	WarmingUp      bool          `json:"Cold"`
-	ColdBudget     float64       `json:"Part"`   // attempts that slow start leaves to this instance
-	Used           int           `json:"Used"`   // attempts in the period
-	RecentAttempts float64       `json:"Asked"`  // recent attempts and failed probes
-	RecentFailures float64       `json:"Failed"` // those of RecentAttempts that failed
+	ID              string        `json:"ID"`
+	Zone            string        `json:"Zone"`
+	Load            float64       `json:"Load"` // last reported load; -1 if unknown
+	StartedAt       time.Duration `json:"Started"`
+	WarmingUp       bool          `json:"Cold"`
+	SlowStartBudget float64       `json:"Part"`   // attempts that slow start leaves to this instance
+	Used            int           `json:"Used"`   // attempts in the period
+	RecentAttempts  float64       `json:"Asked"`  // recent attempts and failed probes
+	RecentFailures  float64       `json:"Failed"` // those of RecentAttempts that failed
 }
 
 // QuotaUsage returns what this instance has used of the fleet's budgets, and the demand on which its share of
@@ -97,7 +97,7 @@
 	}
 	if capacity := b.capacityShare(s); capacity < 1 && s.isReady() {
 		usage.WarmingUp = true
-		usage.ColdBudget = b.slowStartBudget(s, capacity)
+		usage.SlowStartBudget = b.slowStartBudget(s, capacity)
 	}
 	return usage
 }
--- a/internal/fleet/agentapi/stored_test.go
+++ b/internal/fleet/agentapi/stored_test.go
@@ -24,7 +24,7 @@
 		QuotaUsage: balance.QuotaUsage{
 			Period: 101, FirstAttempts: 102.5, Retries: 103.5,
 			Servers: []balance.ServerUsage{{ID: "server-a", Zone: "zone-a", Load: 0.125, StartedAt: 104, WarmingUp: true,
-				ColdBudget: 105.5, Used: 106, RecentAttempts: 107.5, RecentFailures: 108.5}},
+				SlowStartBudget: 105.5, Used: 106, RecentAttempts: 107.5, RecentFailures: 108.5}},
 			Zones: []balance.ZoneUsage{{Zone: "zone-b", Used: 109}},
 		},
 		TableIndex: 110, PartialTableIndex: 111, TablePartsReceived: 112,
--- a/internal/fleet/gossip/lease.go
+++ b/internal/fleet/gossip/lease.go
@@ -123,7 +123,7 @@
 	usage := quota.Usage{
 		Endpoint:       endpoint,
 		WarmingUp:      server.WarmingUp,
-		Demand:         server.ColdBudget,
+		Demand:         server.SlowStartBudget,
 		Attempts:       server.RecentAttempts,
 		FailedAttempts: server.RecentFailures,
 	}
--- a/internal/fleet/gossip/run_test.go
+++ b/internal/fleet/gossip/run_test.go
@@ -67,7 +67,7 @@
 		go func() { ended <- member.Run(ctx, config) }()
 		usage := balance.QuotaUsage{FirstAttempts: 10, Servers: []balance.ServerUsage{
 			{ID: fmt.Sprint("bad-", isStranger), RecentAttempts: 5, RecentFailures: 5},
-			{ID: "cold", WarmingUp: true, ColdBudget: float64(i + 1), RecentAttempts: 1},
+			{ID: "cold", WarmingUp: true, SlowStartBudget: float64(i + 1), RecentAttempts: 1},
 		}}
 		for range 2 { // two goroutines each
 			go func() {
