--- a/balance/handle.go
+++ b/balance/handle.go
@@ -72,9 +72,9 @@
 		b.applySettings(e.Settings)
 		b.finishUnplaceable()
 	}
-	answer := b.actions
+	result := b.actions
 	b.actions = nil
-	return answer
+	return result
 }
 
 // start initializes the state that depends on the time of the first event.
@@ -126,7 +126,8 @@
 	}
 }
 
-// maintain performs the periodic work.
+// maintain handles a timer with the maintenanceToken. Admission, the list lease and the subscription set such
+// timers too, so their work is done each time, and the remaining work once per maintenanceInterval.
 func (b *Balancer) maintain() {
 	b.handleListExpiry()
 	b.admitQueued()
