--- a/balance/fleet_simulation_test.go
+++ b/balance/fleet_simulation_test.go
@@ -126,7 +126,7 @@
 	r.requestCount++
 	id := fmt.Sprint("r", r.requestCount)
 	r.deadlines[id] = r.now + 2*time.Second
-	r.checker.RequestArrived(r.now, id, r.deadlines[id], refmodel.Retries{})
+	r.checker.RequestArrived(r.now, id, r.deadlines[id], refmodel.RetryPolicy{})
 	request := Request{ID: id, Class: "c", Reconnecting: reconnecting, Deadline: r.deadlines[id]}
 	if r.groups > 0 {
 		request.Group = fmt.Sprint("g", r.rng.IntN(r.groups))
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -48,10 +48,10 @@
 		requests: map[string]*trackedRequest{},
 		servers:  map[string]*ServerEntry{},
 		checker: refmodel.NewChecker(refmodel.Rules{
-			AnswerGrace: settings.Rules.AnswerGrace,
-			MaxAttempts: settings.Limits.MaxAttempts,
-			DrainGrace:  settings.Rules.DrainGrace,
-			PromptLimit: 2 * settings.Tick,
+			AnswerGrace:   settings.Rules.AnswerGrace,
+			MaxAttempts:   settings.Limits.MaxAttempts,
+			DrainGrace:    settings.Rules.DrainGrace,
+			FailFastLimit: 2 * settings.Tick,
 		}),
 	}
 	w.driver = newDriver(t, settings)
@@ -77,8 +77,8 @@
 }
 
 // repeatRules is what the reference model has to know of a class.
-func (w *randomEvents) repeatRules(c Class) refmodel.Retries {
-	rules := refmodel.Retries{Forbidden: c.Idempotency == NonIdempotent}
+func (w *randomEvents) repeatRules(c Class) refmodel.RetryPolicy {
+	rules := refmodel.RetryPolicy{Forbidden: c.Idempotency == NonIdempotent}
 	if c.Idempotency != IdempotencyKeyed {
 		return rules
 	}
@@ -154,7 +154,7 @@
 	case outcome == AtCapacity || outcome == ConnectFailed || outcome == NotSent:
 		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.NotRun)
 	case outcome == Errored:
-		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.MayRun)
+		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.MayHaveRun)
 	default:
 		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.NoReply)
 	}
--- a/internal/refmodel/checker.go
+++ b/internal/refmodel/checker.go
@@ -38,12 +38,12 @@
 	OverloadWindow    time.Duration // within any window of this length
 	ChanceAllowance   float64       // upper limit of the requests beyond the budget; 0 allows what chance explains
 
-	PromptLimit time.Duration // rule 5: the longest delay that still counts as at once
-	Tick        time.Duration // rule 5: the interval at which a node sees that a retry window has ended
+	FailFastLimit time.Duration // rule 5: the longest delay that still counts as at once
+	Tick          time.Duration // rule 5: the interval at which a node sees that a retry window has ended
 }
 
-// Retries says where a request that may have run may be sent once more.
-type Retries struct {
+// RetryPolicy says where a request that may have run may be sent once more.
+type RetryPolicy struct {
 	Forbidden bool                          // on no server
 	Within    time.Duration                 // no later than this after it ran; 0 sets no limit
 	AllowedOn func(ran, server string) bool // nil allows every server
@@ -64,9 +64,9 @@
 
 // The outcomes of an attempt.
 const (
-	NotRun  AttemptOutcome = iota // it has never run: it may go to another server
-	MayRun                        // it may have run, and the server has answered
-	NoReply                       // it may have run, or may yet: it must not be retried
+	NotRun     AttemptOutcome = iota // it has never run: it may go to another server
+	MayHaveRun                       // it may have run, and the server has answered
+	NoReply                          // it may have run, or may yet: it must not be retried
 )
 
 // ServerState is the state of a server as discovery has it.
@@ -123,7 +123,7 @@
 		switch {
 		case c.now > q.deadline+c.rules.AnswerGrace:
 			c.addViolation(1, "%s has no answer %v after its client gave up", q.id, c.now-q.deadline)
-		case q.unservableSince >= 0 && c.now > q.unservableSince+c.rules.PromptLimit:
+		case q.unservableSince >= 0 && c.now > q.unservableSince+c.rules.FailFastLimit:
 			c.addViolation(5, "%s waits since %v though no server may be sent it", q.id, q.unservableSince)
 		default:
 			continue
--- a/internal/refmodel/checker_cases_test.go
+++ b/internal/refmodel/checker_cases_test.go
@@ -32,9 +32,9 @@
 		c.ClientLeft(ms, "r")
 	}, "rule 1"},
 	{"refused as harmless", func(c *Checker) {
-		c.RequestArrived(0, "u", time.Second, Retries{Forbidden: true})
+		c.RequestArrived(0, "u", time.Second, RetryPolicy{Forbidden: true})
 		c.AttemptSent(0, "u", "a")
-		c.AttemptEnded(0, "u", MayRun)
+		c.AttemptEnded(0, "u", MayHaveRun)
 		c.RequestAnswered(0, "u", Refused)
 	}, "rule 1"},
 	{"answered as its client left", func(c *Checker) {
@@ -112,9 +112,9 @@
 		c.AttemptSent(0, "r", "b")
 	}, "rule 2"},
 	{"repeat past its window", func(c *Checker) {
-		c.RequestArrived(0, "k", time.Second, Retries{Within: 100 * ms})
+		c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 		c.AttemptSent(0, "k", "a")
-		c.AttemptEnded(50*ms, "k", MayRun)
+		c.AttemptEnded(50*ms, "k", MayHaveRun)
 		c.AttemptSent(100*ms, "k", "b")
 	}, "rule 2"},
 }
--- a/internal/refmodel/checker_notification_cases_test.go
+++ b/internal/refmodel/checker_notification_cases_test.go
@@ -55,37 +55,37 @@
 		c.ServerChanged(0, "a", Draining, 0)
 		c.ServerChanged(time.Second, "a", Ready, 0)
 		c.NodeNotified(2*time.Second, "a", Ready, 0)
-		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, Retries{})
+		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(6500*ms, "k", "a")
 	}, ""},
 	{"while discovery can't be reached", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
-		c.DiscoveryReachable(5*time.Second, false)
-		c.RequestArrived(20*time.Second, "k", 20*time.Second+time.Second, Retries{})
+		c.DiscoveryReachabilityChanged(5*time.Second, false)
+		c.RequestArrived(20*time.Second, "k", 20*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(20*time.Second, "k", "a")
 	}, ""},
 	{"after discovery is back, just in time", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
-		c.DiscoveryReachable(5*time.Second, false)
-		c.DiscoveryReachable(10*time.Second, true)
-		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, Retries{})
+		c.DiscoveryReachabilityChanged(5*time.Second, false)
+		c.DiscoveryReachabilityChanged(10*time.Second, true)
+		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(16300*ms, "k", "a")
 	}, ""},
 	{"after discovery is back", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
-		c.DiscoveryReachable(5*time.Second, false)
-		c.DiscoveryReachable(10*time.Second, true)
-		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, Retries{})
+		c.DiscoveryReachabilityChanged(5*time.Second, false)
+		c.DiscoveryReachabilityChanged(10*time.Second, true)
+		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(16301*ms, "k", "a")
 	}, "rule 3"},
 	{"before discovery can't be reached", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
-		c.DiscoveryReachable(6*time.Second, false)
-		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, Retries{})
+		c.DiscoveryReachabilityChanged(6*time.Second, false)
+		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
 	{"a pushed change, just in time", func(c *Checker) {
@@ -124,7 +124,7 @@
 	}, ""},
 	{"given up and kept: all tried", func(c *Checker) {
 		c.NodeNotified(0, "c", Gone, 0)
-		c.RequestArrived(0, "t", time.Second, Retries{})
+		c.RequestArrived(0, "t", time.Second, RetryPolicy{})
 		for _, s := range []string{"a", "b"} {
 			c.AttemptSent(0, "t", s)
 			c.AttemptEnded(0, "t", NotRun)
@@ -143,9 +143,9 @@
 		c.CheckDeadlines(2 * ms)
 	}, ""},
 	{"given up and kept: its window is over", func(c *Checker) {
-		c.RequestArrived(0, "k", time.Second, Retries{Within: 100 * ms})
+		c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 		c.AttemptSent(0, "k", "a")
-		c.AttemptEnded(50*ms, "k", MayRun)
+		c.AttemptEnded(50*ms, "k", MayHaveRun)
 		c.CheckDeadlines(102 * ms)
 	}, "rule 5"},
 	{"its window is over: within a tick", func(c *Checker) {
--- a/internal/refmodel/checker_test.go
+++ b/internal/refmodel/checker_test.go
@@ -15,7 +15,7 @@
 	rules := Rules{
 		MaxAttempts: 2, DrainGrace: 300 * ms, NotifyDelay: 6 * time.Second,
 		SlowStartDuration: 10 * time.Second, SlowStartShare: 0.2, ServerRate: 10,
-		OverloadMultiple: 3, OverloadWindow: time.Second, PromptLimit: ms,
+		OverloadMultiple: 3, OverloadWindow: time.Second, FailFastLimit: ms,
 	}
 	tests := slices.Concat(answerCases, attemptCases, drainCases, coldServerCases, notificationCases, promptnessCases)
 	for _, tt := range tests {
@@ -23,7 +23,7 @@
 			c := NewChecker(rules)
 			c.NodeNotified(0, "a", Ready, 0)
 			c.NodeNotified(0, "b", Ready, 0)
-			c.RequestArrived(0, "r", time.Second, Retries{})
+			c.RequestArrived(0, "r", time.Second, RetryPolicy{})
 			tt.play(c)
 			if (tt.want != "") != (len(c.Violations) > 0) {
 				t.Errorf("broken: %q, want %q", c.Violations, tt.want)
@@ -41,16 +41,16 @@
 // new one arrive.
 func answerAndAskAgain(c *Checker, id string, now time.Duration) {
 	c.RequestAnswered(0, "r", Refused)
-	c.RequestArrived(now, id, now+time.Second, Retries{})
+	c.RequestArrived(now, id, now+time.Second, RetryPolicy{})
 }
 
 // endWithinRetryWindow ends the attempt of a request that may be retried for 100 ms, with a tick of
 // 4 ms.
 func endWithinRetryWindow(c *Checker, at time.Duration) {
 	c.rules.Tick = 4 * ms
-	c.RequestArrived(0, "k", time.Second, Retries{Within: 100 * ms})
+	c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 	c.AttemptSent(0, "k", "a")
-	c.AttemptEnded(at, "k", MayRun)
+	c.AttemptEnded(at, "k", MayHaveRun)
 }
 
 // sendBurst sends n requests, evenly within a time, to the server c, whose process started at
@@ -64,7 +64,7 @@
 	}
 	for i := range n {
 		id, at := fmt.Sprint("c", i), from+within*time.Duration(i)/time.Duration(n)
-		c.RequestArrived(at, id, at+time.Second, Retries{})
+		c.RequestArrived(at, id, at+time.Second, RetryPolicy{})
 		c.AttemptSent(at, id, "c")
 		c.RequestAnswered(at, id, Served)
 	}
--- a/internal/refmodel/notification.go
+++ b/internal/refmodel/notification.go
@@ -13,9 +13,9 @@
 	from, to time.Duration // to is never while it lasts
 }
 
-// DiscoveryReachable records whether the node can reach discovery from now on. While it can't, no change counts as
+// DiscoveryReachabilityChanged records whether the node can reach discovery from now on. While it can't, no change counts as
 // notified.
-func (c *Checker) DiscoveryReachable(now time.Duration, reachable bool) {
+func (c *Checker) DiscoveryReachabilityChanged(now time.Duration, reachable bool) {
 	c.CheckDeadlines(now)
 	last := len(c.outages) - 1
 	isOut := last >= 0 && c.outages[last].to == never
--- a/internal/refmodel/requests.go
+++ b/internal/refmodel/requests.go
@@ -23,7 +23,7 @@
 type request struct {
 	id       string
 	deadline time.Duration
-	retries  Retries
+	retries  RetryPolicy
 	status   requestStatus
 	statusAt time.Duration // when it became more than unanswered
 
@@ -39,7 +39,7 @@
 }
 
 // RequestArrived records a new request. Its id may be that of a request that is finished.
-func (c *Checker) RequestArrived(now time.Duration, id string, deadline time.Duration, retries Retries) {
+func (c *Checker) RequestArrived(now time.Duration, id string, deadline time.Duration, retries RetryPolicy) {
 	c.CheckDeadlines(now)
 	q := &request{id: id, deadline: deadline, retries: retries, idleSince: now, unservableSince: never}
 	c.requests[id] = q
--- a/internal/refmodel/simulation_clients_test.go
+++ b/internal/refmodel/simulation_clients_test.go
@@ -24,8 +24,8 @@
 }
 
 // retriesOf is what the checker has to know of a class.
-func (s *simulation) retriesOf(c balance.Class) refmodel.Retries {
-	r := refmodel.Retries{Forbidden: c.Idempotency == balance.NonIdempotent}
+func (s *simulation) retriesOf(c balance.Class) refmodel.RetryPolicy {
+	r := refmodel.RetryPolicy{Forbidden: c.Idempotency == balance.NonIdempotent}
 	if c.Idempotency != balance.IdempotencyKeyed {
 		return r
 	}
--- a/internal/refmodel/simulation_config_test.go
+++ b/internal/refmodel/simulation_config_test.go
@@ -88,7 +88,7 @@
 func checkerRules(config simulationConfig) refmodel.Rules {
 	return refmodel.Rules{
 		MaxAttempts: 4, DrainGrace: 300 * ms, NotifyDelay: 6 * time.Second,
-		PromptLimit: config.promptLimit, Tick: 4 * ms,
+		FailFastLimit: config.promptLimit, Tick: 4 * ms,
 		SlowStartDuration: 20 * time.Second, SlowStartShare: 0.2, ServerRate: config.serverRate,
 		OverloadMultiple: 3, OverloadWindow: 1500 * ms, ChanceAllowance: 3,
 	}
--- a/internal/refmodel/simulation_discovery_test.go
+++ b/internal/refmodel/simulation_discovery_test.go
@@ -83,12 +83,12 @@
 	if !goesDown {
 		return
 	}
-	d.sim.record(func(c *refmodel.Checker, now time.Duration) { c.DiscoveryReachable(now, false) })
+	d.sim.record(func(c *refmodel.Checker, now time.Duration) { c.DiscoveryReachabilityChanged(now, false) })
 	d.sim.background.Go(func() {
 		time.Sleep(length)
 		d.sim.record(func(c *refmodel.Checker, now time.Duration) {
 			d.isDown = false
-			c.DiscoveryReachable(now, true)
+			c.DiscoveryReachabilityChanged(now, true)
 		})
 	})
 }
--- a/internal/refmodel/simulation_servers_test.go
+++ b/internal/refmodel/simulation_servers_test.go
@@ -135,7 +135,7 @@
 		fmt.Fprintf(conn, "BUSY\r\n")
 		return false
 	case s.chance(0.06), s.faults == lateConnects && s.chance(0.2):
-		a.finish(refmodel.MayRun)
+		a.finish(refmodel.MayHaveRun)
 		fmt.Fprintf(conn, "ERR\r\n")
 		return false
 	case s.chance(0.05):
