--- a/internal/refmodel/notification.go
+++ b/internal/refmodel/notification.go
@@ -1,6 +1,6 @@
 package refmodel
 
-// When a change of a server counts as notified: rule 3.
+// Rule 3: when a change of a server counts as notified.
 
 import (
 	"cmp"
@@ -8,65 +8,67 @@
 	"time"
 )
 
-// outage is a time in which the node could not reach discovery.
+// outage is a period in which the node could not reach discovery.
 type outage struct {
-	from, to time.Duration // to is never while it lasts
+	from, to time.Duration // to is never while the outage lasts
 }
 
-// DiscoveryReachabilityChanged records whether the node can reach discovery from now on. While it can't, no change counts as
-// notified.
+// DiscoveryReachabilityChanged records whether the node can reach discovery from now on. During an
+// outage no change becomes due, so that none counts as notified without a notification.
 func (c *Checker) DiscoveryReachabilityChanged(now time.Duration, reachable bool) {
 	c.CheckDeadlines(now)
 	last := len(c.outages) - 1
-	isOut := last >= 0 && c.outages[last].to == never
+	isUnreachable := last >= 0 && c.outages[last].to == never
 	switch {
-	case reachable && isOut:
+	case reachable && isUnreachable:
 		c.outages[last].to = now
-	case !reachable && !isOut:
+	case !reachable && !isUnreachable:
 		c.outages = append(c.outages, outage{now, never})
 	}
 }
 
-// dueAt is when a change that discovery had at a time counts as notified: after NotifyDelay in which discovery could
-// be reached. It is never while an outage lasts before that.
-func (c *Checker) dueAt(at time.Duration) time.Duration {
-	begin := at
+// dueAt returns the time from which a change that discovery had at a given time counts as
+// notified: the end of the first NotifyDelay after it in which discovery was reachable throughout.
+// It returns never while an outage lasts that began before the end of that delay.
+func (c *Checker) dueAt(changedAt time.Duration) time.Duration {
+	delayStart := changedAt
 	for _, o := range c.outages {
-		if begin+c.rules.NotifyDelay <= o.from {
+		if delayStart+c.rules.NotifyDelay <= o.from {
 			break
 		}
 		if o.to == never {
 			return never
 		}
-		begin = max(begin, o.to)
+		delayStart = max(delayStart, o.to)
 	}
-	return begin + c.rules.NotifyDelay
+	return delayStart + c.rules.NotifyDelay
 }
 
-// toldState is a state that the node counts as notified of since a time.
-type toldState struct {
+// notifiedState is a server state that counts as notified since a time.
+type notifiedState struct {
 	at    time.Duration
 	state ServerState
 }
 
-// told are the states that the node counts as notified of by now, in order: those that it was notified of, and
-// those that discovery has had for long enough, unless the last notification before had taken them in.
-func (c *Checker) told(s *server) (states []toldState) {
+// notified returns the states of a server that count as notified by now, in order of time:
+// those of its notifications, and those of the changes that are due, except changes that the last
+// notification before the due time included.
+func (c *Checker) notified(s *server) (states []notifiedState) {
 	for _, n := range s.notifications {
-		states = append(states, toldState{n.at, n.state})
+		states = append(states, notifiedState{n.at, n.state})
 	}
 	for i, change := range s.changes {
 		dueAt := c.dueAt(change.at)
-		if dueAt != never && dueAt <= c.now && s.changesTakenIn(dueAt) <= i {
-			states = append(states, toldState{dueAt, change.state})
+		if dueAt != never && dueAt <= c.now && s.includedChanges(dueAt) <= i {
+			states = append(states, notifiedState{dueAt, change.state})
 		}
 	}
-	slices.SortStableFunc(states, func(a, b toldState) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(states, func(a, b notifiedState) int { return cmp.Compare(a.at, b.at) })
 	return states
 }
 
-// changesTakenIn is how many of the server's changes the last notification by a time had taken in.
-func (s *server) changesTakenIn(by time.Duration) (count int) {
+// includedChanges returns how many of the server's changes its last notification by a time included.
+func (s *server) includedChanges(by time.Duration) (count int) {
 	for _, n := range s.notifications {
 		if n.at <= by {
 			count = n.changes
@@ -75,16 +77,17 @@
 	return count
 }
 
-// leavingSince reports whether the node counts as notified that a server is leaving, and since when. A server that
-// is back counts as leaving until that counts as notified too.
-func (c *Checker) leavingSince(s *server) (since time.Duration, yes bool) {
-	for _, told := range c.told(s) {
+// leavingSince reports whether it counts as notified that a server is draining or gone, and since
+// when. A server that has become ready again counts as leaving until this change counts as notified
+// too.
+func (c *Checker) leavingSince(s *server) (since time.Duration, isLeaving bool) {
+	for _, notified := range c.notified(s) {
 		switch {
-		case told.state == Ready:
-			yes = false
-		case !yes:
-			since, yes = told.at, true
+		case notified.state == Ready:
+			isLeaving = false
+		case !isLeaving:
+			since, isLeaving = notified.at, true
 		}
 	}
-	return since, yes
+	return since, isLeaving
 }
--- a/internal/refmodel/requests.go
+++ b/internal/refmodel/requests.go
@@ -1,13 +1,13 @@
 package refmodel
 
-// Which answer a request needs, and where it may be sent: rules 1, 2 and 5.
+// Rules 1, 2 and 5: the final answer of a request, and the servers that it may be sent to.
 
 import (
 	"slices"
 	"time"
 )
 
-// requestStatus is how far a request is. Violations quote it.
+// requestStatus is the progress of a request. The texts of violations include it.
 type requestStatus string
 
 const (
@@ -17,7 +17,7 @@
 	overdue    requestStatus = "overdue"
 )
 
-// never is the time of what has not happened.
+// never is the time of an event that has not happened.
 const never time.Duration = -1
 
 type request struct {
@@ -25,184 +25,187 @@
 	deadline time.Duration
 	retries  RetryPolicy
 	status   requestStatus
-	statusAt time.Duration // when it became more than unanswered
+	statusAt time.Duration // when it ceased to be unanswered
 
 	attempts        int
-	inFlightOn      string        // the server of its present attempt; empty without one
-	sentAt          time.Duration // the present or last attempt
-	idleSince       time.Duration // when its last attempt ended
-	failedOn        []string      // the servers whose attempt ended without service
+	inFlightOn      string        // the server of the attempt in flight; empty without one
+	sentAt          time.Duration // when the present or last attempt was sent
+	idleSince       time.Duration // when its last attempt ended, or else when it arrived
+	failedOn        []string      // the servers whose attempts ended without serving it
 	mustNotRetry    bool          // an attempt ended without a reply
-	ranOn           string        // the server where it may first have run
-	ranAt           time.Duration // the earliest time it can have run: when that attempt was sent
-	unservableSince time.Duration // since when no server may be sent it, or never
+	ranOn           string        // the server of the first attempt that may have run; empty without one
+	ranAt           time.Duration // the earliest time at which it can have run: when that attempt was sent
+	unservableSince time.Duration // since when it may not be sent to any server, or never
 }
 
-// RequestArrived records a new request. Its id may be that of a request that is finished.
+// RequestArrived records a new request. The id of a finished request may be used again.
 func (c *Checker) RequestArrived(now time.Duration, id string, deadline time.Duration, retries RetryPolicy) {
 	c.CheckDeadlines(now)
-	q := &request{id: id, deadline: deadline, retries: retries, idleSince: now, unservableSince: never}
-	c.requests[id] = q
-	c.open = append(c.open, q)
+	req := &request{id: id, deadline: deadline, retries: retries, idleSince: now, unservableSince: never}
+	c.requests[id] = req
+	c.open = append(c.open, req)
 	c.updateUnservable()
 }
 
-// AttemptSent records an attempt as the server that it was sent to sees it.
+// AttemptSent records an attempt at the moment at which its server receives it.
 func (c *Checker) AttemptSent(now time.Duration, id, to string) {
 	c.CheckDeadlines(now)
-	q, s := c.requests[id], c.servers[to]
-	if q == nil || s == nil || !s.isKnown {
-		c.addViolation(3, "%s sent to %s: one of them is unknown", id, to)
+	req, s := c.requests[id], c.servers[to]
+	if req == nil || s == nil || !s.isKnown {
+		c.addViolation(3, "%s sent to %s: unknown request or server", id, to)
 		return
 	}
-	crossed := c.mayHaveCrossed(q)
-	c.checkAttempt(q, to, crossed)
+	inGrace := c.inClientGoneGrace(req)
+	c.checkAttempt(req, to, inGrace)
 	if since, isLeaving := c.leavingSince(s); isLeaving && now > since+c.rules.DrainGrace {
-		c.addViolation(3, "%s sent to %s, known to be leaving for %v", id, to, now-since)
+		c.addViolation(3, "%s sent to %s, whose drain or end was notified %v before", id, to, now-since)
 	}
-	if q.status == unanswered || crossed {
-		q.inFlightOn, q.sentAt = to, now
+	if req.status == unanswered || inGrace {
+		req.inFlightOn, req.sentAt = to, now
 	}
-	q.attempts++
+	req.attempts++
 	s.sentAt = append(s.sentAt, now)
 	c.checkColdBudget(to, s)
 	c.updateUnservable()
 }
 
-// mayHaveCrossed reports whether the node may not have seen yet that the request's client left.
-func (c *Checker) mayHaveCrossed(q *request) bool {
-	return q.status == clientLeft && c.now <= q.statusAt+c.rules.ClientGoneGrace
+// inClientGoneGrace reports whether the request's client left so recently that the node may not have
+// noticed it yet.
+func (c *Checker) inClientGoneGrace(req *request) bool {
+	return req.status == clientLeft && c.now <= req.statusAt+c.rules.ClientGoneGrace
 }
 
-// checkAttempt checks a new attempt against rules 1 and 2.
-func (c *Checker) checkAttempt(q *request, to string, crossed bool) {
+// checkAttempt checks a new attempt against rules 1 and 2. inGrace is the result of
+// inClientGoneGrace.
+func (c *Checker) checkAttempt(req *request, to string, inGrace bool) {
 	switch {
-	case q.status != unanswered && !crossed:
-		c.addViolation(2, "%s sent to %s though it is %s", q.id, to, q.status)
-	case q.inFlightOn != "":
-		c.addViolation(2, "%s sent to %s while it is in flight on %s", q.id, to, q.inFlightOn)
-	case q.attempts >= c.rules.MaxAttempts:
-		c.addViolation(2, "%s sent more than %d times", q.id, c.rules.MaxAttempts)
-	case q.mustNotRetry || !c.mayRetryOn(q, to):
-		c.addViolation(2, "%s sent again to %s, where its effect may come twice", q.id, to)
-	case c.now > q.deadline:
-		c.addViolation(1, "%s sent after its client gave up", q.id)
+	case req.status != unanswered && !inGrace:
+		c.addViolation(2, "%s sent to %s although its status is %s", req.id, to, req.status)
+	case req.inFlightOn != "":
+		c.addViolation(2, "%s sent to %s while an attempt is in flight on %s", req.id, to, req.inFlightOn)
+	case req.attempts >= c.rules.MaxAttempts:
+		c.addViolation(2, "%s sent more than %d times", req.id, c.rules.MaxAttempts)
+	case req.mustNotRetry || !c.mayRetryOn(req, to):
+		c.addViolation(2, "%s retried on %s, where it may take effect twice", req.id, to)
+	case c.now > req.deadline:
+		c.addViolation(1, "%s sent after its deadline", req.id)
 	}
 }
 
-// AttemptEnded records the end of the attempt in flight, unless it was served.
+// AttemptEnded records the end of the attempt in flight if the attempt did not serve the request.
 func (c *Checker) AttemptEnded(now time.Duration, id string, outcome AttemptOutcome) {
 	c.CheckDeadlines(now)
-	q := c.requests[id]
-	if q == nil || q.inFlightOn == "" {
+	req := c.requests[id]
+	if req == nil || req.inFlightOn == "" {
 		return
 	}
-	q.failedOn = append(q.failedOn, q.inFlightOn)
+	req.failedOn = append(req.failedOn, req.inFlightOn)
 	if outcome != NotRun {
-		if q.ranOn == "" {
-			q.ranOn, q.ranAt = q.inFlightOn, q.sentAt
+		if req.ranOn == "" {
+			req.ranOn, req.ranAt = req.inFlightOn, req.sentAt
 		}
-		q.mustNotRetry = outcome == NoReply
+		req.mustNotRetry = outcome == NoReply
 	}
-	q.inFlightOn, q.idleSince = "", now
+	req.inFlightOn, req.idleSince = "", now
 	c.updateUnservable()
 }
 
-// RequestAnswered records a final answer as the client sees it.
+// RequestAnswered records a final answer at the moment at which the client receives it.
 func (c *Checker) RequestAnswered(now time.Duration, id string, answer Answer) {
 	c.CheckDeadlines(now)
-	q := c.requests[id]
+	req := c.requests[id]
 	switch {
-	case q == nil:
-		c.addViolation(1, "%s answered, but there is no such request", id)
+	case req == nil:
+		c.addViolation(1, "%s answered, but no request has this id", id)
 		return
-	case q.status == clientLeft && q.statusAt == now: // the answer and the client's end crossed
+	case req.status == clientLeft && req.statusAt == now: // the answer crossed the client's departure
 		return
-	case q.status != unanswered:
-		c.addViolation(1, "%s answered though it is %s", id, q.status)
+	case req.status != unanswered:
+		c.addViolation(1, "%s answered although its status is %s", id, req.status)
 		return
 	}
-	c.checkAnswer(q, answer)
-	c.finish(q, answered)
+	c.checkAnswer(req, answer)
+	c.finish(req, answered)
 }
 
-// checkAnswer checks the final answer of an open request against rules 1 and 2.
-func (c *Checker) checkAnswer(q *request, answer Answer) {
-	retriesAreLimited := q.retries.Forbidden || q.retries.AllowedOn != nil
+// checkAnswer checks the final answer of an unanswered request against rules 1 and 2.
+func (c *Checker) checkAnswer(req *request, answer Answer) {
+	retriesAreLimited := req.retries.Forbidden || req.retries.AllowedOn != nil
 	switch {
-	case answer == Served && q.inFlightOn == "":
-		c.addViolation(1, "%s answered as served, but no attempt is in flight", q.id)
-	case answer != Served && q.inFlightOn != "":
-		c.addViolation(2, "%s answered while it is in flight on %s", q.id, q.inFlightOn)
-	case answer == Refused && q.ranOn != "" && retriesAreLimited:
-		c.addViolation(1, "%s refused as safe to repeat though it may have run", q.id)
-	case c.now > q.deadline+c.rules.AnswerGrace:
-		c.addViolation(1, "%s answered %v after its client gave up", q.id, c.now-q.deadline)
+	case answer == Served && req.inFlightOn == "":
+		c.addViolation(1, "%s answered as served, but no attempt is in flight", req.id)
+	case answer != Served && req.inFlightOn != "":
+		c.addViolation(2, "%s answered without service while an attempt is in flight on %s", req.id, req.inFlightOn)
+	case answer == Refused && req.ranOn != "" && retriesAreLimited:
+		c.addViolation(1, "%s refused as safe to repeat although it may have run", req.id)
+	case c.now > req.deadline+c.rules.AnswerGrace:
+		c.addViolation(1, "%s answered %v after its deadline", req.id, c.now-req.deadline)
 	}
 }
 
-// ClientLeft records that a client has gone before its answer: it needs none any more.
+// ClientLeft records that a client has gone before its answer. Its request needs no answer any more.
 func (c *Checker) ClientLeft(now time.Duration, id string) {
 	c.CheckDeadlines(now)
-	if q := c.requests[id]; q != nil && q.status == unanswered {
-		c.finish(q, clientLeft)
+	if req := c.requests[id]; req != nil && req.status == unanswered {
+		c.finish(req, clientLeft)
 	}
 }
 
-func (c *Checker) finish(q *request, status requestStatus) {
-	q.status, q.statusAt = status, c.now
-	if status != clientLeft { // then its attempt is in flight until it ends
-		q.inFlightOn = ""
+func (c *Checker) finish(req *request, status requestStatus) {
+	req.status, req.statusAt = status, c.now
+	if status != clientLeft { // after the client has left, its attempt stays in flight until it ends
+		req.inFlightOn = ""
 	}
-	c.open = slices.DeleteFunc(c.open, func(o *request) bool { return o == q })
+	c.open = slices.DeleteFunc(c.open, func(other *request) bool { return other == req })
 }
 
-// updateUnservable sets for each open request since when no server may be sent it.
+// updateUnservable sets unservableSince of each open request.
 func (c *Checker) updateUnservable() {
-	for _, q := range c.open {
-		since, isUnservable := c.unservable(q)
+	for _, req := range c.open {
+		since, isUnservable := c.unservable(req)
 		switch {
 		case !isUnservable:
-			q.unservableSince = never
-		case q.unservableSince < 0:
-			q.unservableSince = since
+			req.unservableSince = never
+		case req.unservableSince < 0:
+			req.unservableSince = since
 		}
 	}
 }
 
-// unservable reports whether no server may be sent q any more, and since when.
-func (c *Checker) unservable(q *request) (since time.Duration, yes bool) {
-	if q.inFlightOn != "" {
+// unservable reports whether a request may not be sent to any server any more, and since when.
+func (c *Checker) unservable(req *request) (since time.Duration, isUnservable bool) {
+	if req.inFlightOn != "" {
 		return 0, false
 	}
-	if q.mustNotRetry || q.attempts >= c.rules.MaxAttempts || q.ranOn != "" && q.retries.Forbidden {
+	if req.mustNotRetry || req.attempts >= c.rules.MaxAttempts || req.ranOn != "" && req.retries.Forbidden {
 		return c.now, true
 	}
 	if !c.hasEndpoints {
-		return 0, false // the endpoint list is still to come
+		return 0, false // the node has no endpoint list yet
 	}
 	for id, s := range c.servers {
-		if s.isKnown && s.state == Ready && !slices.Contains(q.failedOn, id) && c.mayRetryOn(q, id) {
+		if s.isKnown && s.state == Ready && !slices.Contains(req.failedOn, id) && c.mayRetryOn(req, id) {
 			return 0, false
 		}
 	}
-	windowEnd := q.ranAt + q.retries.Within
-	if q.ranOn == "" || q.retries.Within <= 0 || c.now < windowEnd {
+	windowEnd := req.ranAt + req.retries.Within
+	if req.ranOn == "" || req.retries.Within <= 0 || c.now < windowEnd {
 		return c.now, true
 	}
-	if q.idleSince >= windowEnd {
-		return q.idleSince, true
+	if req.idleSince >= windowEnd {
+		return req.idleSince, true
 	}
-	return windowEnd + c.rules.Tick, true // no event tells a node of the end: it sees it at a tick
+	return windowEnd + c.rules.Tick, true // no event marks the end of the window: a node notices it at a tick
 }
 
-// mayRetryOn reports whether q may be sent to a server, given that it may have run.
-func (c *Checker) mayRetryOn(q *request, to string) bool {
-	if q.ranOn == "" {
+// mayRetryOn reports whether the retry policy of a request lets it be sent to a server. The policy
+// applies only to a request that may have run.
+func (c *Checker) mayRetryOn(req *request, to string) bool {
+	if req.ranOn == "" {
 		return true
 	}
-	r := q.retries
-	isInTime := r.Within == 0 || c.now < q.ranAt+r.Within
-	isAllowed := r.AllowedOn == nil || r.AllowedOn(q.ranOn, to)
-	return !r.Forbidden && isInTime && isAllowed
+	policy := req.retries
+	inWindow := policy.Within == 0 || c.now < req.ranAt+policy.Within
+	isAllowed := policy.AllowedOn == nil || policy.AllowedOn(req.ranOn, to)
+	return !policy.Forbidden && inWindow && isAllowed
 }
