--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -2,10 +2,10 @@
 // events from standard input and writes the actions to standard output, in the protocol of package
 // simproto.
 //
-// It has one goroutine and ends with its input, with exit code 0. An error of the protocol, or an
-// event for an instance that was never started, ends it with exit code 1 and a line on standard
-// error. Settings that an instance can't work with, and a panic in an instance, are answered by an
-// error line for that instance alone.
+// It runs one goroutine and exits with code 0 at the end of its input. After a protocol error, or an
+// event for an instance that was never started, it writes a line to standard error and exits with
+// code 1. Invalid settings of an instance, and a panic in an instance, are reported to the simulator
+// by an error line for that instance alone.
 package main
 
 import (
@@ -20,8 +20,8 @@
 	"coralrelay/internal/simproto"
 )
 
-// gcPercent lets the heap, which is small and short-lived, grow further between two collections:
-// fewer of them leave the CPU to decisions.
+// gcPercent makes garbage collections less frequent than the default, which leaves more CPU time to
+// decisions. The heap is small and short-lived.
 const gcPercent = 400
 
 func main() {
@@ -32,15 +32,15 @@
 	}
 }
 
-// adapter keeps the instances of this process. A stopped instance stays as nil: events that were
-// in flight for it are ignored, while one for an instance that was never started is an error.
+// adapter holds the instances of this process. A stopped instance is kept as nil: events that were in
+// flight for it are ignored, while an event for an instance that was never started is an error.
 type adapter struct {
 	instances map[int]*balance.Balancer
-	actions   []balance.Action // of one event; reused
-	reply     []byte           // to one batch; reused
+	actions   []balance.Action // of one event; the slice is reused
+	reply     []byte           // to one batch; the slice is reused
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := simproto.NewReader(in), bufio.NewWriter(out)
 	a := adapter{instances: map[int]*balance.Balancer{}}
@@ -53,7 +53,7 @@
 		if err != nil {
 			return err
 		}
-		if err := a.answer(&batch); err != nil {
+		if err := a.handleBatch(&batch); err != nil {
 			return err
 		}
 		if _, err := writer.Write(a.reply); err != nil {
@@ -65,8 +65,9 @@
 	}
 }
 
-// answer writes the reply to a batch: the actions of its deliveries in order, and its end.
-func (a *adapter) answer(batch *simproto.Batch) error {
+// handleBatch sets the reply to a batch: the lines of its deliveries in order, and the line that ends
+// it.
+func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply = a.reply[:0]
 	for i := range batch.Deliveries {
 		if err := a.deliver(batch, &batch.Deliveries[i]); err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// deliver hands one delivery to its instance and appends the answer to the reply.
+// deliver passes one delivery to its instance and appends the resulting lines to the reply.
 func (a *adapter) deliver(batch *simproto.Batch, d *simproto.Delivery) error {
 	switch {
 	case d.Start != nil:
@@ -87,18 +88,18 @@
 		a.instances[d.Instance] = nil
 		return nil
 	}
-	b, known := a.instances[d.Instance]
-	if !known {
+	b, wasStarted := a.instances[d.Instance]
+	if !wasStarted {
 		return fmt.Errorf("batch %d: %s for instance %d, which was never started", batch.Round, d.Command, d.Instance)
 	}
 	if b == nil {
 		return nil
 	}
-	a.handle(batch, d, b)
+	a.handleEvent(batch, d, b)
 	return nil
 }
 
-// start starts an instance, or appends an error line where it can't work with its settings.
+// start starts an instance, or appends an error line to the reply if its settings are invalid.
 func (a *adapter) start(d *simproto.Delivery) {
 	a.instances[d.Instance] = nil
 	b, err := newBalancer(d.Start)
@@ -109,7 +110,7 @@
 	a.instances[d.Instance] = b
 }
 
-// newBalancer returns a Balancer for the settings of a start, if they could be read.
+// newBalancer returns a Balancer with the settings of a start, or why they can't be used.
 func newBalancer(start *simproto.Start) (*balance.Balancer, error) {
 	if start.Err != nil {
 		return nil, start.Err
@@ -117,8 +118,9 @@
 	return balance.New(start.Seed, start.Settings)
 }
 
-// handle hands one event to an instance. A panic becomes an error line for that instance.
-func (a *adapter) handle(batch *simproto.Batch, d *simproto.Delivery, b *balance.Balancer) {
+// handleEvent passes one event to an instance and appends its actions to the reply. A panic becomes
+// an error line for that instance.
+func (a *adapter) handleEvent(batch *simproto.Batch, d *simproto.Delivery, b *balance.Balancer) {
 	defer func() {
 		if p := recover(); p != nil {
 			a.reply = simproto.AppendError(a.reply, d.Instance, fmt.Sprint(p))
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -7,7 +7,7 @@
 	"coralrelay/internal/settings"
 )
 
-// message is the union of all incoming messages; its tags are the names in the protocol.
+// message has the fields of all incoming messages. Its tags are their names in the protocol.
 type message struct {
 	Cmd         string             `json:"cmd"`
 	SimTime     float64            `json:"simTime"`
@@ -43,18 +43,18 @@
 	StartedAt *float64 `json:"startedAt"`
 }
 
-// outcomeCodes maps the protocol's outcome codes; an unknown code counts as an error.
+// outcomeCodes maps the protocol's outcome codes to outcomes. Unknown codes are Errored.
 var outcomeCodes = map[int]balance.Outcome{
 	0: balance.Errored, 1: balance.OK, 2: balance.AtCapacity, 3: balance.TimedOut,
 	4: balance.ConnectFailed, 5: balance.Reset, 6: balance.Cancelled, 7: balance.NotSent,
 }
 
-// listModes maps the modes of Update.
+// listModes maps the modes of an Update message to kinds of lists.
 var listModes = map[string]balance.ListKind{
 	"D": balance.ListDelta, "F": balance.ListFull, "C": balance.ListCached, "X": balance.ListFailed,
 }
 
-// decode translates a message for one instance; it is false for an unknown one.
+// decode translates a message to one instance. It returns false if the command is unknown.
 func (r *Reader) decode(m *message) (Delivery, bool) {
 	d := Delivery{Instance: m.Instance, Command: m.Cmd}
 	switch m.Cmd {
@@ -64,11 +64,11 @@
 	case "Destroy":
 		d.Stop = true
 	case "Update":
-		u := balance.ListUpdate{Kind: listModes[m.Mode]}
-		if u.Kind != balance.ListFailed {
-			u.Entries = r.serverLists[m.List]
+		update := balance.ListUpdate{Kind: listModes[m.Mode]}
+		if update.Kind != balance.ListFailed {
+			update.Entries = r.serverLists[m.List]
 		}
-		d.Event = u
+		d.Event = update
 	case "Demand":
 		d.Event = toRequest(m)
 	case "Handover":
@@ -85,8 +85,8 @@
 	case "StatusBack":
 		d.Event = balance.ProbeResult{Server: m.Server, Outcome: toOutcome(m.OutcomeCode), Latency: settings.Seconds(m.Latency),
 			LoadReport: toLoadReport(m.Report)}
-	case "Progress": // servers' own load reports say more of loads and delays
-	case "Memo": // instances do not talk to one another
+	case "Progress": // ignored: the servers' load reports say more about load and latency
+	case "Memo": // ignored: instances do not communicate with each other
 	default:
 		return d, false
 	}
@@ -94,17 +94,17 @@
 }
 
 func toRequest(m *message) balance.Request {
-	q := balance.Request{ID: m.Ref, Class: m.Class, Group: m.Group, Reconnecting: m.Returned,
+	req := balance.Request{ID: m.Ref, Class: m.Class, Group: m.Group, Reconnecting: m.Returned,
 		ClientRetry: m.ClientRetry, Deadline: settings.Seconds(m.Deadline)}
 	if m.LoadHint != nil {
-		q.LoadHint = *m.LoadHint
+		req.LoadHint = *m.LoadHint
 	}
-	return q
+	return req
 }
 
 func toOutcome(code int) balance.Outcome {
-	if o, ok := outcomeCodes[code]; ok {
-		return o
+	if outcome, ok := outcomeCodes[code]; ok {
+		return outcome
 	}
 	return balance.Errored
 }
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -1,4 +1,4 @@
-// Package simproto translates the simulator's lines of JSON into events of package balance,
-// and its actions into lines. It decides nothing and starts no goroutine. Its errors say at
-// which batch and message the input was malformed; the end of the input is io.EOF.
+// Package simproto translates the simulator's JSON lines into events of package balance, and the
+// actions of that package into JSON lines. It makes no decisions and starts no goroutine. Its errors
+// name the batch and the message at which the input is malformed; the end of the input is io.EOF.
 package simproto
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -11,8 +11,8 @@
 	"coralrelay/internal/settings"
 )
 
-// Delivery is one message of a batch for one instance: a start, a stop or, where neither is
-// set, an event, which is nil if the module has no use for it.
+// Delivery is one message of a batch to one instance: a start, a stop or, if neither is set, an
+// event. The event is nil if the decision module doesn't use the message.
 type Delivery struct {
 	Instance int
 	Start    *Start
@@ -21,24 +21,24 @@
 	Command  string // the message's name in the protocol, for error texts
 }
 
-// Start holds what a new instance is given.
+// Start holds the parameters of a new instance.
 type Start struct {
 	Seed     uint64
 	Settings balance.Settings
-	Err      error // the settings could not be read
+	Err      error // why the settings could not be decoded
 }
 
-// Batch is what happened at one moment of simulated time, in order.
+// Batch holds the messages of one moment of simulated time, in order.
 type Batch struct {
 	Now        time.Duration
 	Round      int64
 	Deliveries []Delivery
 }
 
-// maxLineBytes bounds one line; lists of large fleets run to megabytes.
+// maxLineBytes limits the length of a line. The server lists of large fleets take megabytes.
 const maxLineBytes = 1 << 30
 
-// Reader reads batches.
+// Reader reads batches of messages from the simulator.
 type Reader struct {
 	lines       *bufio.Scanner
 	serverLists map[int][]balance.ServerEntry
@@ -46,7 +46,7 @@
 	round       int64
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 1<<16), maxLineBytes)
@@ -56,7 +56,7 @@
 // Read reads the next complete batch into b, or returns io.EOF at the end of the input.
 func (r *Reader) Read(b *Batch) error {
 	b.Deliveries = b.Deliveries[:0]
-	open := false
+	inBatch := false
 	for r.lines.Scan() {
 		line := r.lines.Bytes()
 		if len(line) == 0 {
@@ -69,8 +69,8 @@
 		m := &r.message
 		switch {
 		case m.Cmd == "Clock":
-			b.Now, b.Round, r.round, open = settings.Seconds(m.SimTime), m.Round, m.Round, true
-		case !open:
+			b.Now, b.Round, r.round, inBatch = settings.Seconds(m.SimTime), m.Round, m.Round, true
+		case !inBatch:
 			return fmt.Errorf("batch %d: message %.80q outside of a batch", r.round, line)
 		case m.Cmd == "OverToYou":
 			return nil
@@ -87,5 +87,5 @@
 	if err := r.lines.Err(); err != nil {
 		return fmt.Errorf("batch %d: %w", r.round, err)
 	}
-	return io.EOF // also within a batch: nobody waits for its answer
+	return io.EOF // also within a batch, whose reply is not needed any more
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -13,7 +13,7 @@
 
 const millisecond = time.Millisecond
 
-// read returns the batches of an input and the error that ended it.
+// readBatches returns the batches of an input and the error that ended reading.
 func readBatches(input string) ([]Batch, error) {
 	r := NewReader(strings.NewReader(input))
 	var all []Batch
@@ -26,7 +26,7 @@
 	}
 }
 
-// one wraps a line in a batch and returns its only delivery.
+// readOneDelivery reads a batch that consists of one line and returns its only delivery.
 func readOneDelivery(t *testing.T, line string) Delivery {
 	t.Helper()
 	all, err := readBatches(`{"cmd":"Clock","simTime":2.5,"round":7}` + "\n" + line + "\n" + `{"cmd":"OverToYou"}` + "\n")
@@ -58,7 +58,7 @@
 		{"request with nulls", `{"cmd":"Demand","who":2,"ref":"c:one","cameBack":false,"realm":null,"teamId":null,` +
 			`"midFlow":false,"grade":"chat","entity":null,"cost":null,"againByClient":false,"deadline":3.75,"novel":[1]}`,
 			balance.Request{ID: "c:one", Class: "chat", Deadline: 3750 * millisecond}},
-		{"request that came back", `{"cmd":"Demand","who":2,"ref":"c:one","cameBack":true,"grade":"chat","deadline":1}`,
+		{"reconnecting request", `{"cmd":"Demand","who":2,"ref":"c:one","cameBack":true,"grade":"chat","deadline":1}`,
 			balance.Request{ID: "c:one", Class: "chat", Reconnecting: true, Deadline: time.Second}},
 		{"tenant as a number", `{"cmd":"Demand","who":2,"ref":"c:one","realm":0,"grade":"chat","deadline":1}`,
 			balance.Request{ID: "c:one", Class: "chat", Deadline: time.Second}},
@@ -66,31 +66,31 @@
 			balance.OpenConnection{Request: balance.Request{ID: "c:two", Class: "chat", Deadline: time.Second}, Server: "s.a"}},
 		{"started", `{"cmd":"Opened","who":2,"ref":"c:one","hop":1,"server":"s.a","lag":0.009}`,
 			balance.ConnectionEstablished{ID: "c:one", Attempt: 1, Server: "s.a", Latency: 9 * millisecond}},
-		{"load note", `{"cmd":"Progress","who":2,"ref":"c:one","hop":0,"server":"s.a","kind":1,"x":250000}`,
+		{"progress with load", `{"cmd":"Progress","who":2,"ref":"c:one","hop":0,"server":"s.a","kind":1,"x":250000}`,
 			nil},
-		{"delay note", `{"cmd":"Progress","who":2,"ref":"c:one","hop":0,"server":"s.a","kind":2,"x":31.5}`,
+		{"progress with latency", `{"cmd":"Progress","who":2,"ref":"c:one","hop":0,"server":"s.a","kind":2,"x":31.5}`,
 			nil},
-		{"note of a kind to come", `{"cmd":"Progress","who":2,"ref":"c:one","kind":9,"x":1}`, nil},
+		{"progress of an unknown kind", `{"cmd":"Progress","who":2,"ref":"c:one","kind":9,"x":1}`, nil},
 		{"attempt ended", `{"cmd":"Completed","who":2,"ref":"c:one","hop":1,"server":"s.a","rc":4,"lag":0.25,` +
 			`"complete":false,"report":null}`,
 			balance.AttemptEnded{ID: "c:one", Attempt: 1, Server: "s.a", Outcome: balance.ConnectFailed,
 				Latency: 250 * millisecond, LoadReport: balance.EmptyLoadReport}},
-		{"attempt served with a report", `{"cmd":"Completed","who":2,"ref":"c:one","hop":0,"server":"s.a","rc":1,` +
+		{"attempt served with a load report", `{"cmd":"Completed","who":2,"ref":"c:one","hop":0,"server":"s.a","rc":1,` +
 			`"lag":0.02,"complete":true,"report":{"x0":0.5}}`,
 			balance.AttemptEnded{ID: "c:one", Server: "s.a", Outcome: balance.OK, Latency: 20 * millisecond, Final: true, LoadReport: utilization(0.5)}},
-		{"outcome to come", `{"cmd":"Completed","who":2,"ref":"c:one","hop":0,"server":"s.a","rc":99,"lag":0}`,
+		{"unknown outcome", `{"cmd":"Completed","who":2,"ref":"c:one","hop":0,"server":"s.a","rc":99,"lag":0}`,
 			balance.AttemptEnded{ID: "c:one", Server: "s.a", Outcome: balance.Errored, LoadReport: balance.EmptyLoadReport}},
 		{"client gone", `{"cmd":"Abandoned","who":2,"ref":"c:one"}`, balance.ClientGone{ID: "c:one"}},
 		{"timer", `{"cmd":"DeadlineHit","who":2,"ctx":9223372036854775807}`,
 			balance.TimerFired{Token: 9223372036854775807}},
-		{"probe answer", `{"cmd":"StatusBack","who":2,"server":"s.a","rc":1,"lag":0.0014,"report":{"x0":0.5,"x1":1,` +
+		{"probe result", `{"cmd":"StatusBack","who":2,"server":"s.a","rc":1,"lag":0.0014,"report":{"x0":0.5,"x1":1,` +
 			`"utilization":0.25,"outstanding":7,"backlog":2,"recent_ms":12,"throughput":40,"errors_per_s":0.5,"mood":3}}`,
 			balance.ProbeResult{Server: "s.a", Outcome: balance.OK, Latency: 1400 * time.Microsecond, LoadReport: all}},
 		{"peer", `{"cmd":"Memo","who":2,"originPeer":5,"raw":"aGkgNw=="}`,
 			nil},
-		{"list of before", `{"cmd":"Update","who":2,"mode":"C","stamp":4,"table":null}`,
+		{"cached list", `{"cmd":"Update","who":2,"mode":"C","stamp":4,"table":null}`,
 			balance.ListUpdate{Kind: balance.ListCached}},
-		{"list failed", `{"cmd":"Update","who":2,"mode":"X","stamp":4,"table":null}`,
+		{"failed list", `{"cmd":"Update","who":2,"mode":"X","stamp":4,"table":null}`,
 			balance.ListUpdate{Kind: balance.ListFailed}},
 	}
 	for _, tt := range tests {
@@ -105,15 +105,15 @@
 func TestDecodesOutcomes(t *testing.T) {
 	want := []balance.Outcome{balance.Errored, balance.OK, balance.AtCapacity, balance.TimedOut, balance.ConnectFailed,
 		balance.Reset, balance.Cancelled, balance.NotSent}
-	for code, o := range want {
-		if got := toOutcome(code); got != o {
-			t.Errorf("code %d is %d, want %d", code, got, o)
+	for code, outcome := range want {
+		if got := toOutcome(code); got != outcome {
+			t.Errorf("outcome of code %d is %d, want %d", code, got, outcome)
 		}
 	}
 }
 
-// A list's number may be used again within a batch: each event gets the list
-// that stood under the number when it came.
+// A list number may be reused within a batch: each update gets the list that was registered under
+// the number when the update was read.
 func TestReusedListNumberKeepsEarlierUpdate(t *testing.T) {
 	all, err := readBatches(`{"cmd":"Clock","simTime":1,"round":1}
 {"cmd":"Register","table":0,"nodesList":[{"server":"s.a","az":"north","familyType":"big","cohort":3,"status":"SERVING","size":1.5,"startedAt":6.5},{"server":"s.b","az":"south","familyType":"big","cohort":0,"status":"DRAINING","size":1,"startedAt":null}]}
@@ -170,24 +170,24 @@
 }
 
 func TestMalformedInputIsError(t *testing.T) {
-	clock, over := `{"cmd":"Clock","simTime":1,"round":5}`+"\n", `{"cmd":"OverToYou"}`+"\n"
+	clock, end := `{"cmd":"Clock","simTime":1,"round":5}`+"\n", `{"cmd":"OverToYou"}`+"\n"
 	tests := []struct {
 		name, input string
 		want        []string
 	}{
-		{"no JSON", clock + "what\n" + over, []string{"batch 5", "what"}},
-		{"unknown message", clock + `{"cmd":"Sing","who":1}` + "\n" + over, []string{"batch 5", "Sing"}},
+		{"no JSON", clock + "what\n" + end, []string{"batch 5", "what"}},
+		{"unknown message", clock + `{"cmd":"Sing","who":1}` + "\n" + end, []string{"batch 5", "Sing"}},
 		{"outside of a batch", `{"cmd":"Abandoned","who":1,"ref":"c:a"}` + "\n", []string{"batch 0", "Abandoned"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := readBatches(tt.input)
 			if err == nil || errors.Is(err, io.EOF) {
-				t.Fatalf("error %v, want a fault", err)
+				t.Fatalf("error %v, want an error about the input", err)
 			}
 			for _, w := range tt.want {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("error %q does not name %q", err, w)
+					t.Errorf("error %q does not contain %q", err, w)
 				}
 			}
 		})
@@ -197,7 +197,7 @@
 func TestInputMayEndWithinBatch(t *testing.T) {
 	for _, input := range []string{"", `{"cmd":"Clock","simTime":1,"round":5}` + "\n"} {
 		if all, err := readBatches(input); !errors.Is(err, io.EOF) || len(all) != 0 {
-			t.Errorf("%q: %v, %v; want the end of the input", input, all, err)
+			t.Errorf("%q: %v, %v; want io.EOF and no batch", input, all, err)
 		}
 	}
 }
@@ -225,10 +225,10 @@
 		}
 	}
 	if got := string(AppendError(nil, 3, "no\nidea")); got != `{"cmd":"Broken","who":3,"words":"no\nidea"}`+"\n" {
-		t.Errorf("fault: %s", got)
+		t.Errorf("error: got %s", got)
 	}
 	if got := string(AppendDone(nil, 12)); got != `{"cmd":"Ok","round":12}`+"\n" {
-		t.Errorf("done: %s", got)
+		t.Errorf("done: got %s", got)
 	}
 }
 
