--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -25,7 +25,7 @@
 type Start struct {
 	Seed     uint64
 	Settings balance.Settings
-	Err      error // why the settings could not be decoded
+	Err      error // set if the settings could not be decoded
 }
 
 // Batch holds the messages of one moment of simulated time, in order.
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -16,27 +16,27 @@
 // readBatches returns the batches of an input and the error that ended reading.
 func readBatches(input string) ([]Batch, error) {
 	r := NewReader(strings.NewReader(input))
-	var all []Batch
+	var batches []Batch
 	for {
 		var b Batch
 		if err := r.Read(&b); err != nil {
-			return all, err
+			return batches, err
 		}
-		all = append(all, b)
+		batches = append(batches, b)
 	}
 }
 
 // readOneDelivery reads a batch that consists of one line and returns its only delivery.
 func readOneDelivery(t *testing.T, line string) Delivery {
 	t.Helper()
-	all, err := readBatches(`{"cmd":"Clock","simTime":2.5,"round":7}` + "\n" + line + "\n" + `{"cmd":"OverToYou"}` + "\n")
-	if !errors.Is(err, io.EOF) || len(all) != 1 || len(all[0].Deliveries) != 1 {
-		t.Fatalf("got %v, %v; want one batch with one delivery", all, err)
+	batches, err := readBatches(`{"cmd":"Clock","simTime":2.5,"round":7}` + "\n" + line + "\n" + `{"cmd":"OverToYou"}` + "\n")
+	if !errors.Is(err, io.EOF) || len(batches) != 1 || len(batches[0].Deliveries) != 1 {
+		t.Fatalf("got %v, %v; want one batch with one delivery", batches, err)
 	}
-	if all[0].Now != 2500*millisecond || all[0].Round != 7 {
-		t.Fatalf("clock %v round %d", all[0].Now, all[0].Round)
+	if batches[0].Now != 2500*millisecond || batches[0].Round != 7 {
+		t.Fatalf("time %v, round %d; want 2.5s and 7", batches[0].Now, batches[0].Round)
 	}
-	return all[0].Deliveries[0]
+	return batches[0].Deliveries[0]
 }
 
 func utilization(v float64) balance.LoadReport {
@@ -46,7 +46,7 @@
 }
 
 func TestDecodesEvents(t *testing.T) {
-	all := balance.LoadReport{Utilization: 0.5, CPUUtilization: 0.25, Inflight: 7, LatencyMillis: 12}
+	loadReport := balance.LoadReport{Utilization: 0.5, CPUUtilization: 0.25, Inflight: 7, LatencyMillis: 12}
 	tests := []struct {
 		name, line string
 		want       balance.Event
@@ -85,8 +85,8 @@
 			balance.TimerFired{Token: 9223372036854775807}},
 		{"probe result", `{"cmd":"StatusBack","who":2,"server":"s.a","rc":1,"lag":0.0014,"report":{"x0":0.5,"x1":1,` +
 			`"utilization":0.25,"outstanding":7,"backlog":2,"recent_ms":12,"throughput":40,"errors_per_s":0.5,"mood":3}}`,
-			balance.ProbeResult{Server: "s.a", Outcome: balance.OK, Latency: 1400 * time.Microsecond, LoadReport: all}},
-		{"peer", `{"cmd":"Memo","who":2,"originPeer":5,"raw":"aGkgNw=="}`,
+			balance.ProbeResult{Server: "s.a", Outcome: balance.OK, Latency: 1400 * time.Microsecond, LoadReport: loadReport}},
+		{"message from a peer", `{"cmd":"Memo","who":2,"originPeer":5,"raw":"aGkgNw=="}`,
 			nil},
 		{"cached list", `{"cmd":"Update","who":2,"mode":"C","stamp":4,"table":null}`,
 			balance.ListUpdate{Kind: balance.ListCached}},
@@ -115,15 +115,15 @@
 // A list number may be reused within a batch: each update gets the list that was registered under
 // the number when the update was read.
 func TestReusedListNumberKeepsEarlierUpdate(t *testing.T) {
-	all, err := readBatches(`{"cmd":"Clock","simTime":1,"round":1}
+	batches, err := readBatches(`{"cmd":"Clock","simTime":1,"round":1}
 {"cmd":"Register","table":0,"nodesList":[{"server":"s.a","az":"north","familyType":"big","cohort":3,"status":"SERVING","size":1.5,"startedAt":6.5},{"server":"s.b","az":"south","familyType":"big","cohort":0,"status":"DRAINING","size":1,"startedAt":null}]}
 {"cmd":"Update","who":1,"mode":"F","stamp":41,"table":0}
 {"cmd":"Register","table":0,"nodesList":[{"server":"s.c","az":"north","familyType":"big","cohort":0,"status":"DELETED","size":1,"startedAt":0}]}
 {"cmd":"Update","who":1,"mode":"D","stamp":42,"table":0}
 {"cmd":"OverToYou"}
 `)
-	if !errors.Is(err, io.EOF) || len(all) != 1 {
-		t.Fatal(all, err)
+	if !errors.Is(err, io.EOF) || len(batches) != 1 {
+		t.Fatal(batches, err)
 	}
 	want := []balance.Event{
 		balance.ListUpdate{Kind: balance.ListFull, Entries: []balance.ServerEntry{
@@ -132,7 +132,7 @@
 		balance.ListUpdate{Kind: balance.ListDelta, Entries: []balance.ServerEntry{
 			{ID: "s.c", Zone: "north", State: balance.Gone}}},
 	}
-	for i, d := range all[0].Deliveries {
+	for i, d := range batches[0].Deliveries {
 		if !reflect.DeepEqual(d.Event, want[i]) {
 			t.Errorf("got %#v\nwant %#v", d.Event, want[i])
 		}
@@ -196,8 +196,8 @@
 
 func TestInputMayEndWithinBatch(t *testing.T) {
 	for _, input := range []string{"", `{"cmd":"Clock","simTime":1,"round":5}` + "\n"} {
-		if all, err := readBatches(input); !errors.Is(err, io.EOF) || len(all) != 0 {
-			t.Errorf("%q: %v, %v; want io.EOF and no batch", input, all, err)
+		if batches, err := readBatches(input); !errors.Is(err, io.EOF) || len(batches) != 0 {
+			t.Errorf("%q: %v, %v; want io.EOF and no batch", input, batches, err)
 		}
 	}
 }
