--- a/internal/refmodel/busy_discovery_test.go
+++ b/internal/refmodel/busy_discovery_test.go
@@ -11,26 +11,26 @@
 
 // busyCase is a discovery that needs 7.5 s to serve all nodes, which start at the same moment.
 type busyCase struct {
-	name   string
-	nodes  int
-	waits  time.Duration // for how long it lets calls wait; calls that waited longer are answered 503 and cost their time
-	inTime float64       // the share of the nodes that has to have the list by notifyDeadline; 0.8 can be served by then
-	within time.Duration // nearly all have to have it by then
+	name        string
+	nodes       int
+	maxWait     time.Duration // calls that wait longer are answered 503, and take service time all the same
+	shareInTime float64       // minimum share of nodes with the list by notifyDeadline; 0.8 could be served
+	deadline    time.Duration // nearly all nodes must have the list by then
 }
 
 var busyCases = []busyCase{
-	{"lets calls wait for 2 s", 300, 2 * time.Second, 0.4, 20 * time.Second},
-	{"lets calls wait for 2 s", 900, 2 * time.Second, 0.4, 20 * time.Second},
-	{"lets calls wait", 300, time.Hour, 0.75, 9 * time.Second},
-	{"lets calls wait", 900, time.Hour, 0.75, 9 * time.Second},
+	{"nodes, a queue timeout of 2 s", 300, 2 * time.Second, 0.4, 20 * time.Second},
+	{"nodes, a queue timeout of 2 s", 900, 2 * time.Second, 0.4, 20 * time.Second},
+	{"nodes, no queue timeout", 300, time.Hour, 0.75, 9 * time.Second},
+	{"nodes, no queue timeout", 900, time.Hour, 0.75, 9 * time.Second},
 }
 
 // discovery returns the discovery of the case.
 func (tt busyCase) discovery() *fakeDiscovery {
 	times := rand.New(rand.NewPCG(1, 4))
 	d := newFakeDiscovery(func(int) callBehavior { return answersList })
-	d.queueTimeout, d.chargesExpired = tt.waits, true
-	if tt.waits < time.Hour {
+	d.queueTimeout, d.processesExpired = tt.maxWait, true
+	if tt.maxWait < time.Hour {
 		d.queueLimit = tt.nodes * 80 / herdNodes
 	}
 	d.serviceTime = func() time.Duration {
@@ -39,28 +39,28 @@
 	return d
 }
 
-// deepQueues are how many calls a discovery that needs 7.5 s for all nodes lets wait, as a multiple of those that it can
-// serve within their 2 s.
-var deepQueues = []int{2, 5}
+// queueDepths are the lengths of the queue of a discovery that needs 7.5 s for all nodes, as multiples
+// of the calls that it can serve within their timeout of 2 s.
+var queueDepths = []int{2, 5}
 
-// A discovery that is crowded, and whose queue is deep, serves calls in vain that have waited too long, one after the
-// other. The nodes let it recover: nearly all have the list in the end.
-func TestCrowdedDiscoveryRecovers(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as in TestManySilentWatchesAreReplacedInTime
+// An overloaded discovery with a deep queue spends its time on calls that have already timed out. The
+// nodes let it recover: nearly all have the list in the end.
+func TestOverloadedDiscoveryRecovers(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // see TestManySilentWatchesAreReplacedInTime
 	const nearlyAll, within = 0.95, 45 * time.Second
 	for _, nodes := range []int{herdNodes, 3 * herdNodes} {
-		for _, depth := range deepQueues {
+		for _, depth := range queueDepths {
 			t.Run(fmt.Sprint(nodes, " nodes, a queue of ", depth, " times 2 s"), func(t *testing.T) {
-				tt := busyCase{nodes: nodes, waits: 2 * time.Second}
-				begin := func() *fakeDiscovery {
+				tt := busyCase{nodes: nodes, maxWait: 2 * time.Second}
+				newDiscovery := func() *fakeDiscovery {
 					d := tt.discovery()
 					d.queueLimit *= depth
 					return d
 				}
-				runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-					all, begun := startFollowers(ctx, t, d, nodes), time.Now()
+				runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+					watchers, start := startListWatchers(ctx, t, d, nodes), time.Now()
 					time.Sleep(within)
-					if served := shareServed(all, begun); served < nearlyAll {
+					if served := shareServed(watchers, start); served < nearlyAll {
 						t.Errorf("%.2f of the nodes have the list within %v", served, within)
 					}
 				})
@@ -69,49 +69,49 @@
 	}
 }
 
-// startFollowers starts so many nodes at the same moment.
-func startFollowers(ctx context.Context, t *testing.T, d *fakeDiscovery, nodes int) (all []*follower) {
+// startListWatchers starts a number of nodes at the same moment.
+func startListWatchers(ctx context.Context, t *testing.T, d *fakeDiscovery, nodes int) (watchers []*listWatcher) {
 	t.Helper()
 	for i := range uint64(nodes) {
-		all = append(all, d.startFollower(ctx, t, fmt.Sprint("n", i), i, pollSettings(nodes)))
+		watchers = append(watchers, d.startListWatcher(ctx, t, fmt.Sprint("n", i), i, pollSettings(nodes)))
 	}
-	return all
+	return watchers
 }
 
-// shareServed is the share of the nodes that have a list since a time.
-func shareServed(all []*follower, since time.Time) float64 {
+// shareServed returns the share of the nodes that have received a list since a time.
+func shareServed(watchers []*listWatcher, since time.Time) float64 {
 	count := 0
-	for _, f := range all {
-		if !f.firstFullListAfter(since.Add(-1)).IsZero() {
+	for _, w := range watchers {
+		if !w.firstFullListAfter(since.Add(-1)).IsZero() {
 			count++
 		}
 	}
-	return float64(count) / float64(len(all))
+	return float64(count) / float64(len(watchers))
 }
 
-// A discovery that is busy is not kept busy by the nodes: with calls that have waited too long, made again too soon, or
-// with calls that are given up after they have waited for long.
-func TestBusyDiscoveryIsNotKeptBusy(t *testing.T) {
-	// As in TestManySilentWatchesAreReplacedInTime.
+// The nodes do not prolong the overload of a discovery: neither by repeating calls too soon that have
+// waited too long, nor by giving up calls that have waited for long.
+func TestNodesDoNotProlongOverload(t *testing.T) {
+	// See TestManySilentWatchesAreReplacedInTime.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const nearlyAll = 0.95
 	for _, tt := range busyCases {
 		t.Run(fmt.Sprint(tt.nodes, " ", tt.name), func(t *testing.T) {
 			runInBubble(t, tt.discovery, func(ctx context.Context, d *fakeDiscovery) {
-				begun := time.Now()
-				all := startFollowers(ctx, t, d, tt.nodes)
-				time.Sleep(tt.within)
-				inTime, served, calls := 0.0, shareServed(all, begun), 0
-				for i, f := range all {
-					calls += len(d.callsSince(fmt.Sprint("n", i), begun.Add(-1)))
-					listAt := f.firstFullListAfter(begun.Add(-1))
-					if !listAt.IsZero() && listAt.Sub(begun) <= notifyDeadline {
-						inTime += 1 / float64(tt.nodes)
+				start := time.Now()
+				watchers := startListWatchers(ctx, t, d, tt.nodes)
+				time.Sleep(tt.deadline)
+				shareInTime, served, calls := 0.0, shareServed(watchers, start), 0
+				for i, w := range watchers {
+					calls += len(d.callsSince(fmt.Sprint("n", i), start.Add(-1)))
+					listAt := w.firstFullListAfter(start.Add(-1))
+					if !listAt.IsZero() && listAt.Sub(start) <= notifyDeadline {
+						shareInTime += 1 / float64(tt.nodes)
 					}
 				}
-				t.Logf("%.2f of the nodes have the list within %v, %.2f within %v, %d calls", inTime, notifyDeadline, served, tt.within, calls)
-				if inTime < tt.inTime || served < nearlyAll {
-					t.Errorf("wanted: %.2f and %.2f", tt.inTime, nearlyAll)
+				t.Logf("%.2f of the nodes have the list within %v, %.2f within %v; %d calls", shareInTime, notifyDeadline, served, tt.deadline, calls)
+				if shareInTime < tt.shareInTime || served < nearlyAll {
+					t.Errorf("want shares of at least %.2f and %.2f", tt.shareInTime, nearlyAll)
 				}
 			})
 		})
--- a/internal/refmodel/checker.go
+++ b/internal/refmodel/checker.go
@@ -30,14 +30,14 @@
 	MaxAttempts     int           // rule 2: of one request
 	ClientGoneGrace time.Duration // rule 2: an attempt may begin up to this long after its client has gone
 	DrainGrace      time.Duration // rule 3: an attempt may begin up to this long after the notification
-	NotifyDelay     time.Duration // rule 3: from discovery to the time when a change counts as notified; 0: pushed
+	NotifyDelay     time.Duration // rule 3: from a change in discovery until it counts as notified; 0: pushed
 
 	SlowStartDuration time.Duration // rule 4: a server is warm once its process is this old
 	SlowStartShare    float64       // rule 4: the share of its capacity that a server starts with
 	ServerRate        float64       // rule 4: requests per second of a warm server; 0 disables the rule
 	OverloadMultiple  float64       // rule 4: the budget as a multiple of a cold server's present capacity
 	OverloadWindow    time.Duration // rule 4: the length of the window in which requests are counted
-	ChanceAllowance   float64       // rule 4: maximum of the excess by chance, in requests; 0 sets none
+	ChanceAllowance   float64       // rule 4: maximum of the chance excess, in requests; 0 sets none
 
 	FailFastLimit time.Duration // rule 5: the longest delay that counts as at once
 	Tick          time.Duration // rule 5: how often a node checks whether retry windows have ended
--- a/internal/refmodel/checker_cases_test.go
+++ b/internal/refmodel/checker_cases_test.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// checkerCase is a history that breaks one rule, or one that comes near it and breaks none. Each
+// checkerCase is a history that breaks one rule, or one that comes close to it and breaks none. Each
 // begins with the ready servers a and b and the request r, whose deadline is one second.
 type checkerCase struct {
 	name string
-	play func(c *Checker)
-	want string // how each violation begins; empty if there are none
+	run  func(c *Checker)
+	want string // the prefix of each violation; empty if there are none
 }
 
-// answerCases are of rule 1: the final answer.
+// answerCases test rule 1: the final answer.
 var answerCases = []checkerCase{
 	{"served", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
@@ -22,16 +22,16 @@
 		c.RequestAnswered(ms, "r", Refused)
 	}, "rule 1"},
 	{"never answered", func(c *Checker) { c.CheckDeadlines(1001 * ms) }, "rule 1"},
-	{"answered at the last moment", func(c *Checker) {
+	{"answered at its deadline", func(c *Checker) {
 		c.RequestAnswered(time.Second, "r", Failed)
 		c.CheckDeadlines(time.Hour)
 	}, ""},
-	{"served by nobody", func(c *Checker) { c.RequestAnswered(ms, "r", Served) }, "rule 1"},
-	{"answered unasked", func(c *Checker) {
+	{"served without an attempt", func(c *Checker) { c.RequestAnswered(ms, "r", Served) }, "rule 1"},
+	{"answer to an unknown request", func(c *Checker) {
 		c.RequestAnswered(ms, "q", Failed)
 		c.ClientLeft(ms, "r")
 	}, "rule 1"},
-	{"refused as harmless", func(c *Checker) {
+	{"refused as safe to repeat after it may have run", func(c *Checker) {
 		c.RequestArrived(0, "u", time.Second, RetryPolicy{Forbidden: true})
 		c.AttemptSent(0, "u", "a")
 		c.AttemptEnded(0, "u", MayHaveRun)
@@ -51,13 +51,13 @@
 	}, ""},
 }
 
-// attemptCases are of rule 2: attempts and retries.
+// attemptCases test rule 2: attempts and retries.
 var attemptCases = []checkerCase{
-	{"two at once", func(c *Checker) {
+	{"two attempts at once", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.AttemptSent(ms, "r", "b")
 	}, "rule 2"},
-	{"answered while out", func(c *Checker) {
+	{"answered while in flight", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.RequestAnswered(ms, "r", Refused)
 	}, "rule 2"},
@@ -90,17 +90,17 @@
 		c.AttemptEnded(50*ms, "r", NotRun)
 		c.AttemptSent(102*ms, "r", "b")
 	}, "rule 2"},
-	{"two at once as its client left", func(c *Checker) {
+	{"two attempts at once as its client left", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.ClientLeft(ms, "r")
 		c.AttemptSent(ms, "r", "b")
 	}, "rule 2"},
-	{"one after the other", func(c *Checker) {
+	{"one attempt after the other", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.AttemptEnded(ms, "r", NotRun)
 		c.AttemptSent(ms, "r", "b")
 	}, ""},
-	{"too often", func(c *Checker) {
+	{"more attempts than allowed", func(c *Checker) {
 		for _, s := range []string{"a", "b", "a"} {
 			c.AttemptSent(0, "r", s)
 			c.AttemptEnded(0, "r", NotRun)
@@ -111,7 +111,7 @@
 		c.AttemptEnded(0, "r", NoReply)
 		c.AttemptSent(0, "r", "b")
 	}, "rule 2"},
-	{"repeat past its window", func(c *Checker) {
+	{"retried after its window", func(c *Checker) {
 		c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 		c.AttemptSent(0, "k", "a")
 		c.AttemptEnded(50*ms, "k", MayHaveRun)
@@ -119,62 +119,62 @@
 	}, "rule 2"},
 }
 
-// drainCases are of rule 3: servers that the node was notified of as leaving.
+// drainCases test rule 3: servers whose drain or end the node was notified of.
 var drainCases = []checkerCase{
-	{"just within the grace", func(c *Checker) {
+	{"just within the grace period", func(c *Checker) {
 		c.NodeNotified(0, "a", Draining, 0)
 		c.AttemptSent(300*ms, "r", "a")
 	}, ""},
-	{"after a drain", func(c *Checker) {
+	{"after the grace period of a drain", func(c *Checker) {
 		c.NodeNotified(0, "a", Draining, 0)
 		c.AttemptSent(301*ms, "r", "a")
 	}, "rule 3"},
-	{"drained, then gone", func(c *Checker) {
+	{"draining, then gone", func(c *Checker) {
 		c.NodeNotified(0, "a", Draining, 0)
 		c.NodeNotified(200*ms, "a", Gone, 0)
 		c.AttemptSent(301*ms, "r", "a")
 	}, "rule 3"},
-	{"back before it was sent", func(c *Checker) {
+	{"ready again before the attempt", func(c *Checker) {
 		c.NodeNotified(0, "a", Gone, 0)
 		c.NodeNotified(200*ms, "a", Ready, 0)
 		c.AttemptSent(900*ms, "r", "a")
 	}, ""},
 }
 
-// coldServerCases are of rule 4: what a cold server may be sent.
+// coldServerCases test rule 4: the budget of a cold server.
 var coldServerCases = []checkerCase{
-	{"within a cold budget, and chance", func(c *Checker) { sendBurst(c, ms, 15, time.Second) }, ""},
-	{"over a cold budget, and chance", func(c *Checker) { sendBurst(c, ms, 16, time.Second) }, "rule 4"},
-	{"the same in two windows", func(c *Checker) { sendBurst(c, ms, 24, 2*time.Second) }, ""},
-	{"within a cold budget", func(c *Checker) {
+	{"within the budget and its chance excess", func(c *Checker) { sendBurst(c, ms, 15, time.Second) }, ""},
+	{"over the budget and its chance excess", func(c *Checker) { sendBurst(c, ms, 16, time.Second) }, "rule 4"},
+	{"spread over two windows", func(c *Checker) { sendBurst(c, ms, 24, 2*time.Second) }, ""},
+	{"within the budget, almost no excess allowed", func(c *Checker) {
 		c.rules.ChanceAllowance = 0.01
 		sendBurst(c, ms, 7, time.Second)
 	}, ""},
-	{"over a cold budget", func(c *Checker) {
+	{"over the budget, almost no excess allowed", func(c *Checker) {
 		c.rules.ChanceAllowance = 0.01
 		sendBurst(c, ms, 9, time.Second)
 	}, "rule 4"},
-	{"chance grows with the root alone", func(c *Checker) {
+	{"the chance excess grows only with the square root of the budget", func(c *Checker) {
 		c.rules.ServerRate = 100
 		sendBurst(c, ms, 98, time.Second)
 	}, ""},
-	{"of a hundred it is a fifth", func(c *Checker) {
+	{"over a large budget and its chance excess, about a fifth", func(c *Checker) {
 		c.rules.ServerRate = 100
 		sendBurst(c, ms, 109, time.Second)
 	}, "rule 4"},
-	{"a process that discovery told of", func(c *Checker) {
+	{"a restart that counts as notified", func(c *Checker) {
 		c.NodeNotified(0, "c", Ready, 0)
 		c.ServerChanged(ms, "c", Ready, 6*time.Second)
 		sendBurst(c, 6001*ms, 16, time.Second)
 	}, "rule 4"},
-	{"an older list of it that came after", func(c *Checker) {
+	{"an older list after a restart that counts as notified", func(c *Checker) {
 		c.NodeNotified(0, "c", Ready, 0)
 		c.ServerChanged(ms, "c", Ready, 6*time.Second)
 		sendBurst(c, 6001*ms, 8, 500*ms)
 		c.NodeNotified(6501*ms, "c", Ready, 0)
 		sendBurst(c, 6501*ms, 8, 500*ms)
 	}, "rule 4"},
-	{"a process that it has not told of", func(c *Checker) {
+	{"a restart that does not count as notified yet", func(c *Checker) {
 		c.NodeNotified(0, "c", Ready, 0)
 		c.ServerChanged(ms, "c", Ready, ms)
 		sendBurst(c, 4*time.Second, 40, time.Second)
--- a/internal/refmodel/checker_notification_cases_test.go
+++ b/internal/refmodel/checker_notification_cases_test.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// notificationCases are of rule 3: changes that count as notified, whether or not a notification arrived.
+// notificationCases test rule 3: changes that count as notified whether or not a notification arrived.
 var notificationCases = []checkerCase{
-	{"a change that never came, just in time", func(c *Checker) {
+	{"a change without a notification, just within the grace period", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
-		answerAndAskAgain(c, "k", 6*time.Second)
+		replaceRequest(c, "k", 6*time.Second)
 		c.AttemptSent(6300*ms, "k", "a")
 	}, ""},
-	{"a change that never came", func(c *Checker) {
+	{"a change without a notification", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
-		answerAndAskAgain(c, "k", 6*time.Second)
+		replaceRequest(c, "k", 6*time.Second)
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
-	{"a change that came before", func(c *Checker) {
+	{"a change that was notified before it was due", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
 		c.NodeNotified(ms, "a", Draining, 0)
 		c.AttemptSent(302*ms, "r", "a")
 	}, "rule 3"},
-	{"a change that came too late", func(c *Checker) {
+	{"a change that was notified after it was due", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
-		answerAndAskAgain(c, "k", 6200*ms)
+		replaceRequest(c, "k", 6200*ms)
 		c.NodeNotified(6200*ms, "a", Draining, 0)
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
-	{"an older list that came after", func(c *Checker) {
+	{"an older list after the notification", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
 		c.NodeNotified(ms, "a", Draining, 0)
 		c.NodeNotified(2*ms, "a", Ready, 0)
-		answerAndAskAgain(c, "k", 6*time.Second)
+		replaceRequest(c, "k", 6*time.Second)
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
 	{"the first of two changes counts", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
 		c.ServerChanged(time.Second, "a", Gone, 0)
-		answerAndAskAgain(c, "k", 6*time.Second)
+		replaceRequest(c, "k", 6*time.Second)
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
-	{"a change that was taken back, before that counts", func(c *Checker) {
+	{"a reverted change, before its revert counts as notified", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
 		c.ServerChanged(time.Second, "a", Ready, 0)
-		answerAndAskAgain(c, "k", 6*time.Second)
+		replaceRequest(c, "k", 6*time.Second)
 		c.AttemptSent(6500*ms, "k", "a")
 	}, "rule 3"},
-	{"a change that was taken back", func(c *Checker) {
+	{"a reverted change", func(c *Checker) {
 		c.ServerChanged(0, "a", Draining, 0)
 		c.ServerChanged(time.Second, "a", Ready, 0)
-		answerAndAskAgain(c, "k", 7*time.Second)
+		replaceRequest(c, "k", 7*time.Second)
 		c.AttemptSent(7*time.Second, "k", "a")
 	}, ""},
-	{"a change that was taken back, as the node knows", func(c *Checker) {
+	{"a reverted change, after its revert was notified", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
 		c.ServerChanged(time.Second, "a", Ready, 0)
@@ -58,14 +58,14 @@
 		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(6500*ms, "k", "a")
 	}, ""},
-	{"while discovery can't be reached", func(c *Checker) {
+	{"while discovery is unreachable", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
 		c.DiscoveryReachabilityChanged(5*time.Second, false)
 		c.RequestArrived(20*time.Second, "k", 20*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(20*time.Second, "k", "a")
 	}, ""},
-	{"after discovery is back, just in time", func(c *Checker) {
+	{"after discovery is reachable again, just within the grace period", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
 		c.DiscoveryReachabilityChanged(5*time.Second, false)
@@ -73,7 +73,7 @@
 		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(16300*ms, "k", "a")
 	}, ""},
-	{"after discovery is back", func(c *Checker) {
+	{"after discovery is reachable again", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
 		c.DiscoveryReachabilityChanged(5*time.Second, false)
@@ -81,48 +81,48 @@
 		c.RequestArrived(16*time.Second, "k", 16*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(16301*ms, "k", "a")
 	}, "rule 3"},
-	{"before discovery can't be reached", func(c *Checker) {
+	{"a change that was due before discovery became unreachable", func(c *Checker) {
 		c.RequestAnswered(0, "r", Refused)
 		c.ServerChanged(0, "a", Draining, 0)
 		c.DiscoveryReachabilityChanged(6*time.Second, false)
 		c.RequestArrived(6*time.Second, "k", 6*time.Second+time.Second, RetryPolicy{})
 		c.AttemptSent(6301*ms, "k", "a")
 	}, "rule 3"},
-	{"a pushed change, just in time", func(c *Checker) {
+	{"a pushed change, just within the grace period", func(c *Checker) {
 		c.rules.NotifyDelay = 0
 		c.ServerChanged(0, "a", Gone, 0)
 		c.AttemptSent(300*ms, "r", "a")
 	}, ""},
-	{"a pushed change", func(c *Checker) {
+	{"a pushed change, after the grace period", func(c *Checker) {
 		c.rules.NotifyDelay = 0
 		c.ServerChanged(0, "a", Gone, 0)
 		c.AttemptSent(301*ms, "r", "a")
 	}, "rule 3"},
-	{"a server that no word came of", func(c *Checker) {
+	{"a server that the node was not notified of", func(c *Checker) {
 		c.ServerChanged(0, "c", Ready, 0)
 		c.AttemptSent(ms, "r", "c")
 	}, "rule 3"},
 }
 
-// promptnessCases are of rule 5: requests that no server may be sent.
-var promptnessCases = []checkerCase{
-	{"given up and kept: no word of another", func(c *Checker) {
+// failFastCases test rule 5: requests that may not be sent to any server.
+var failFastCases = []checkerCase{
+	{"unanswered: the only ready server was not notified", func(c *Checker) {
 		c.ServerChanged(0, "c", Ready, 0)
 		c.NodeNotified(0, "a", Draining, 0)
 		c.NodeNotified(0, "b", Gone, 0)
 		c.CheckDeadlines(2 * ms)
 	}, "rule 5"},
-	{"given up and kept: a reset", func(c *Checker) {
+	{"unanswered after a reset", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.AttemptEnded(ms, "r", NoReply)
 		c.CheckDeadlines(3 * ms)
 	}, "rule 5"},
-	{"given up and answered", func(c *Checker) {
+	{"answered after a reset", func(c *Checker) {
 		c.AttemptSent(0, "r", "a")
 		c.AttemptEnded(ms, "r", NoReply)
 		c.RequestAnswered(2*ms, "r", Failed)
 	}, ""},
-	{"given up and kept: all tried", func(c *Checker) {
+	{"unanswered: all servers were tried", func(c *Checker) {
 		c.NodeNotified(0, "c", Gone, 0)
 		c.RequestArrived(0, "t", time.Second, RetryPolicy{})
 		for _, s := range []string{"a", "b"} {
@@ -131,35 +131,35 @@
 		}
 		c.CheckDeadlines(2 * ms)
 	}, "rule 5"},
-	{"given up and kept: nobody is ready", func(c *Checker) {
+	{"unanswered: no server is ready", func(c *Checker) {
 		c.NodeNotified(0, "a", Draining, 0)
 		c.NodeNotified(0, "b", Gone, 0)
 		c.CheckDeadlines(2 * ms)
 	}, "rule 5"},
-	{"nobody is ready for a moment", func(c *Checker) {
+	{"no server is ready for a moment", func(c *Checker) {
 		c.NodeNotified(0, "a", Draining, 0)
 		c.NodeNotified(0, "b", Gone, 0)
 		c.NodeNotified(0, "b", Ready, 0)
 		c.CheckDeadlines(2 * ms)
 	}, ""},
-	{"given up and kept: its window is over", func(c *Checker) {
+	{"unanswered after its retry window", func(c *Checker) {
 		c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 		c.AttemptSent(0, "k", "a")
 		c.AttemptEnded(50*ms, "k", MayHaveRun)
 		c.CheckDeadlines(102 * ms)
 	}, "rule 5"},
-	{"its window is over: within a tick", func(c *Checker) {
-		endWithinRetryWindow(c, 99*ms)
+	{"answered within a tick after its retry window", func(c *Checker) {
+		endAttemptOfKeyedRequest(c, 99*ms)
 		c.CheckDeadlines(105 * ms)
 		c.RequestAnswered(105*ms, "k", Failed)
 	}, ""},
-	{"given up and kept: a tick after its window", func(c *Checker) {
-		endWithinRetryWindow(c, 99*ms)
+	{"unanswered a tick after its retry window", func(c *Checker) {
+		endAttemptOfKeyedRequest(c, 99*ms)
 		c.CheckDeadlines(100 * ms)
 		c.CheckDeadlines(106 * ms)
 	}, "rule 5"},
-	{"given up and kept: a tick after it ended", func(c *Checker) {
-		endWithinRetryWindow(c, 101*ms)
+	{"unanswered after an attempt that ended after the retry window", func(c *Checker) {
+		endAttemptOfKeyedRequest(c, 101*ms)
 		c.CheckDeadlines(103 * ms)
 	}, "rule 5"},
 }
--- a/internal/refmodel/checker_test.go
+++ b/internal/refmodel/checker_test.go
@@ -10,51 +10,51 @@
 
 const ms = time.Millisecond
 
-// Every violation is reported, and what only comes near one is not.
+// Every history that breaks a rule is reported, and no history that only comes close to it.
 func TestCheckerReportsViolations(t *testing.T) {
 	rules := Rules{
 		MaxAttempts: 2, DrainGrace: 300 * ms, NotifyDelay: 6 * time.Second,
 		SlowStartDuration: 10 * time.Second, SlowStartShare: 0.2, ServerRate: 10,
 		OverloadMultiple: 3, OverloadWindow: time.Second, FailFastLimit: ms,
 	}
-	tests := slices.Concat(answerCases, attemptCases, drainCases, coldServerCases, notificationCases, promptnessCases)
+	tests := slices.Concat(answerCases, attemptCases, drainCases, coldServerCases, notificationCases, failFastCases)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := NewChecker(rules)
 			c.NodeNotified(0, "a", Ready, 0)
 			c.NodeNotified(0, "b", Ready, 0)
 			c.RequestArrived(0, "r", time.Second, RetryPolicy{})
-			tt.play(c)
+			tt.run(c)
 			if (tt.want != "") != (len(c.Violations) > 0) {
-				t.Errorf("broken: %q, want %q", c.Violations, tt.want)
+				t.Errorf("violations %q, want %q", c.Violations, tt.want)
 			}
 			for _, got := range c.Violations {
 				if !strings.HasPrefix(got, tt.want) {
-					t.Errorf("broken: %q, want %q alone", got, tt.want)
+					t.Errorf("violations %q, want only %q", got, tt.want)
 				}
 			}
 		})
 	}
 }
 
-// answerAndAskAgain answers the request r, which is due before changes count as notified, and has a
-// new one arrive.
-func answerAndAskAgain(c *Checker, id string, now time.Duration) {
+// replaceRequest answers the request r, whose deadline is before changes count as notified, and records
+// the arrival of a new request.
+func replaceRequest(c *Checker, id string, now time.Duration) {
 	c.RequestAnswered(0, "r", Refused)
 	c.RequestArrived(now, id, now+time.Second, RetryPolicy{})
 }
 
-// endWithinRetryWindow ends the attempt of a request that may be retried for 100 ms, with a tick of
-// 4 ms.
-func endWithinRetryWindow(c *Checker, at time.Duration) {
+// endAttemptOfKeyedRequest sends a request that may be retried for 100 ms at 0 and ends its attempt at
+// a given time. The tick is 4 ms.
+func endAttemptOfKeyedRequest(c *Checker, at time.Duration) {
 	c.rules.Tick = 4 * ms
 	c.RequestArrived(0, "k", time.Second, RetryPolicy{Within: 100 * ms})
 	c.AttemptSent(0, "k", "a")
 	c.AttemptEnded(at, "k", MayHaveRun)
 }
 
-// sendBurst sends n requests, evenly within a time, to the server c, whose process started at
-// startedAt. If the node knows c by then, it is not notified of the new process.
+// sendBurst sends n requests to the server c, spread evenly over a time. If the node was not notified of c
+// before, it is notified that the process of c starts together with the burst.
 func sendBurst(c *Checker, from time.Duration, n int, within time.Duration) {
 	if len(c.Unanswered()) > 0 {
 		c.RequestAnswered(0, "r", Refused)
--- a/internal/refmodel/crowd_after_outage_test.go
+++ b/internal/refmodel/crowd_after_outage_test.go
@@ -8,122 +8,126 @@
 	"time"
 )
 
-// A crowd is a discovery that answers 503 at once while it has too many callers: nodes whose watches have ended, and
-// nodes that start. It can be reached, so that what it has to tell counts after notifyDeadline.
+// The overloaded discovery of these tests answers 503 at once while it has too many callers: nodes whose
+// watches have ended, and nodes that start. It is reachable, so that its changes count as notified after
+// notifyDeadline.
 const (
-	crowdNodes   = 300
-	crowdWarmUp  = 60 * time.Second // until all nodes have their watches, and discovery's queue is empty
-	restartAfter = 2 * time.Second  // after the crowd's begin seven in ten nodes are replaced by processes that start
-	crowdWatched = 20 * time.Second
-	samplePause  = 50 * ms
+	nodeCount           = 300
+	overloadWarmUp      = 60 * time.Second // for all nodes to have their watches and the queue to be empty
+	restartAfter        = 2 * time.Second  // from the overload's start; then 7 in 10 nodes are replaced
+	overloadObservation = 20 * time.Second
+	sampleInterval      = 50 * ms
 )
 
-// followers are the nodes of a crowd.
-type followers struct {
-	watched []*follower // those that had a watch
-	started []*follower // those that start in the crowd
+// overloadNodes are the nodes of an overloaded discovery.
+type overloadNodes struct {
+	watched []*listWatcher // those that had a watch
+	started []*listWatcher // those that start during the overload
 }
 
-// playCrowd has all watches end, answers all calls 503 for the time of an outage, and then has most nodes start again.
-// It returns the nodes, and since when discovery could be reached.
-func playCrowd(ctx context.Context, t *testing.T, d *fakeDiscovery, outage time.Duration) (nodes followers, begun time.Time) {
+// runOverload ends all watches, answers all calls 503 for the length of an outage, and then replaces most
+// nodes by new processes. It returns the nodes, and since when discovery is reachable.
+func runOverload(ctx context.Context, t *testing.T, d *fakeDiscovery, outage time.Duration) (nodes overloadNodes, reachableSince time.Time) {
 	d.closesWatches = true
-	ending, end := context.WithCancel(ctx)
-	t.Cleanup(end)
-	for i := range uint64(crowdNodes) {
+	replacedCtx, endReplaced := context.WithCancel(ctx)
+	t.Cleanup(endReplaced)
+	for i := range uint64(nodeCount) {
 		if isReplaced := i%10 >= 3; isReplaced {
-			d.startFollower(ending, t, fmt.Sprint("old", i), i, pollSettings(crowdNodes))
+			d.startListWatcher(replacedCtx, t, fmt.Sprint("old", i), i, pollSettings(nodeCount))
 		} else {
-			nodes.watched = append(nodes.watched, d.startFollower(ctx, t, fmt.Sprint("n", i), i, pollSettings(crowdNodes)))
+			nodes.watched = append(nodes.watched, d.startListWatcher(ctx, t, fmt.Sprint("n", i), i, pollSettings(nodeCount)))
 		}
 	}
-	time.Sleep(crowdWarmUp)
+	time.Sleep(overloadWarmUp)
 	d.isDown.Store(true)
 	d.silenceWatches()
 	time.Sleep(outage)
 	d.isDown.Store(false)
-	begun = time.Now()
+	reachableSince = time.Now()
 	time.Sleep(restartAfter)
-	end()
-	for i := len(nodes.watched); i < crowdNodes; i++ {
-		f := d.startFollower(ctx, t, fmt.Sprint("new", i), uint64(crowdNodes+i), pollSettings(crowdNodes))
-		nodes.started = append(nodes.started, f)
+	endReplaced()
+	for i := len(nodes.watched); i < nodeCount; i++ {
+		w := d.startListWatcher(ctx, t, fmt.Sprint("new", i), uint64(nodeCount+i), pollSettings(nodeCount))
+		nodes.started = append(nodes.started, w)
 	}
-	return nodes, begun
+	return nodes, reachableSince
 }
 
-// countOverdue is how many nodes rely on a list for longer than notifyDeadline after it was last confirmed, or after
-// discovery could be reached again since.
-func countOverdue(all []*follower, reachableSince time.Time) (count int) {
-	overdue := map[*follower]bool{}
-	for begun := time.Now(); time.Since(begun) < crowdWatched; time.Sleep(samplePause) {
+// countOverdue returns how many nodes rely on a list for longer than notifyDeadline after the list was
+// last confirmed or, if that is later, after discovery became reachable.
+func countOverdue(watchers []*listWatcher, reachableSince time.Time) (count int) {
+	overdue := map[*listWatcher]bool{}
+	for start := time.Now(); time.Since(start) < overloadObservation; time.Sleep(sampleInterval) {
 		now := time.Now()
-		for _, f := range all {
-			status, vouchedAt := f.watch.Status(), reachableSince
-			if status.ConfirmedAt.After(vouchedAt) {
-				vouchedAt = status.ConfirmedAt
+		for _, w := range watchers {
+			status, confirmedAt := w.watcher.Status(), reachableSince
+			if status.ConfirmedAt.After(confirmedAt) {
+				confirmedAt = status.ConfirmedAt
 			}
-			if status.MayRely(now) && now.Sub(vouchedAt) > notifyDeadline+samplePause {
-				overdue[f] = true
+			if status.MayRely(now) && now.Sub(confirmedAt) > notifyDeadline+sampleInterval {
+				overdue[w] = true
 			}
 		}
 	}
 	return len(overdue)
 }
 
-// How long discovery is down before its crowd; not at all where watches were reset.
+// How long discovery is down before the overload: not at all where watches were reset.
 const noOutage, longOutage = 0, 8 * time.Second
 
-// The queues of a crowded discovery, as multiples of the calls that it can serve within their 2 s. Where the queue is
-// deep most calls wait in vain, where it is shallow most are rejected at once.
+// The queue lengths of an overloaded discovery, as multiples of the calls that it can serve within their
+// timeout of 2 s. With a deep queue most calls time out in it, with a shallow one most are rejected at once.
 const shallowQueue, deepQueue = 1, 5
 
-// Processes that start in a crowd do not rely on their list for longer than they may.
-func TestStartsInACrowdStopInTime(t *testing.T) {
-	chosen := func(nodes followers) []*follower { return nodes.started }
-	testCrowd(t, shallowQueue, chosen, noOutage, longOutage)
-	testCrowd(t, deepQueue, chosen, noOutage, longOutage)
+// Processes that start during an overload stop relying on their list within notifyDeadline.
+func TestStartedProcessesStopRelyingInTime(t *testing.T) {
+	selectNodes := func(nodes overloadNodes) []*listWatcher { return nodes.started }
+	testOverload(t, shallowQueue, selectNodes, noOutage, longOutage)
+	testOverload(t, deepQueue, selectNodes, noOutage, longOutage)
 }
 
-func watchedNodes(nodes followers) []*follower { return nodes.watched }
+func watchedNodes(nodes overloadNodes) []*listWatcher { return nodes.watched }
 
-// Nor do nodes whose watches an outage has ended, if discovery lets their calls wait after it.
-func TestEndedWatchesInACrowdStopInTime(t *testing.T) {
-	testCrowd(t, deepQueue, watchedNodes, longOutage)
+// Nodes whose watches ended in an outage stop relying on their list within notifyDeadline, where
+// discovery lets their calls wait in a deep queue after the outage.
+func TestEndedWatchesStopRelyingInTime(t *testing.T) {
+	testOverload(t, deepQueue, watchedNodes, longOutage)
 }
 
-// Nor those whose watches were reset, while discovery was up. Once 20 of 90 failed at it: beside a call that waits in the
-// queue a second one was answered 503 at once, and that passed for an outage and renewed the lease.
-func TestResetWatchesInACrowdStopInTime(t *testing.T) {
-	testCrowd(t, deepQueue, watchedNodes, noOutage)
+// Nodes whose watches were reset while discovery was up stop relying on their list within notifyDeadline.
+// Guards against a fault with which 20 of 90 nodes did not: while one call waited in the queue, a second one
+// was answered 503 at once, which was taken for an outage and renewed the lease.
+func TestResetWatchesStopRelyingInTime(t *testing.T) {
+	testOverload(t, deepQueue, watchedNodes, noOutage)
 }
 
-// Nor those whose calls are all answered 503 at once. Once 56 and 33 of 90 failed at it: after a watch that discovery had
-// ended, 503 at once passed for an outage. It is a full queue's answer too, as the records of the same node in both runs
-// show: its watch ends at 0 s, and its calls of 0.97, 1.10 and 1.56 s are answered 503 at once, in one run by a queue
-// that is full and in the other by a service that is down.
-func TestEndedWatchesBesideAFullQueueStopInTime(t *testing.T) {
-	testCrowd(t, shallowQueue, watchedNodes, noOutage, longOutage)
+// Nodes whose calls are all answered 503 at once stop relying on their list within notifyDeadline. Guards
+// against a fault with which 56 and 33 of 90 nodes did not: after discovery had ended a watch, 503 at
+// once was taken for an outage. A full queue answers 503 at once as well, and a node can't tell the two
+// apart: its watch ends at 0 s, and its calls at 0.97, 1.10 and 1.56 s are answered 503 at once, by a full
+// queue in one run and by a service that is down in another.
+func TestEndedWatchesBesideFullQueueStopRelyingInTime(t *testing.T) {
+	testOverload(t, shallowQueue, watchedNodes, noOutage, longOutage)
 }
 
-func testCrowd(t *testing.T, depth int, chosen func(nodes followers) []*follower, outages ...time.Duration) {
+func testOverload(t *testing.T, depth int, selectNodes func(nodes overloadNodes) []*listWatcher, outages ...time.Duration) {
 	t.Helper()
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as in TestManySilentWatchesAreReplacedInTime
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // see TestManySilentWatchesAreReplacedInTime
 	for _, outage := range outages {
 		t.Run(fmt.Sprint("down for ", outage, ", a queue of ", depth, " times 2 s"), func(t *testing.T) {
-			begin := func() *fakeDiscovery {
-				d := busyCase{nodes: crowdNodes, waits: 2 * time.Second}.discovery()
+			newDiscovery := func() *fakeDiscovery {
+				d := busyCase{nodes: nodeCount, maxWait: 2 * time.Second}.discovery()
 				d.queueLimit *= depth
 				return d
 			}
-			runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-				nodes, begun := playCrowd(ctx, t, d, outage)
-				all := chosen(nodes)
-				if isStart := all[0] == nodes.started[0]; isStart {
-					begun = begun.Add(restartAfter)
+			runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+				nodes, reachableSince := runOverload(ctx, t, d, outage)
+				watchers := selectNodes(nodes)
+				if isStart := watchers[0] == nodes.started[0]; isStart {
+					reachableSince = reachableSince.Add(restartAfter)
 				}
-				if count := countOverdue(all, begun); count > 0 {
-					t.Errorf("%d of %d nodes rely on a list for over %v", count, len(all), notifyDeadline)
+				if count := countOverdue(watchers, reachableSince); count > 0 {
+					t.Errorf("%d of %d nodes rely on a list for over %v", count, len(watchers), notifyDeadline)
 				}
 			})
 		})
--- a/internal/refmodel/fake_discovery_test.go
+++ b/internal/refmodel/fake_discovery_test.go
@@ -18,24 +18,24 @@
 type callBehavior int
 
 const (
-	answersList     callBehavior = iota // the full list and then a heartbeat at each interval
-	answers503                          // status 503
-	neverAnswers                        // no byte
-	refusesConnect                      // connection refused
-	connectTimesOut                     // the connect times out
-	stallsMidList                       // the list stops in the middle
-	answersSlowly                       // the list comes slowly
+	answersList     callBehavior = iota // sends the full list, then a heartbeat at each interval
+	answers503                          // answers with status 503
+	neverAnswers                        // sends nothing
+	refusesConnect                      // refuses the connection
+	connectTimesOut                     // lets the connect time out
+	stallsMidList                       // stops in the middle of the list
+	answersSlowly                       // sends the list slowly
 )
 
-// fakeDiscovery serves one call at a time, and drops those that have waited for its queueTimeout.
+// fakeDiscovery serves one call at a time, and drops calls that have waited longer than queueTimeout.
 type fakeDiscovery struct {
-	behavior          func(call int) callBehavior // by number of the node's call, from 0; called under mu
+	behavior          func(call int) callBehavior // by number of the node's call, from 0; called with mu held
 	serviceTime       func() time.Duration        // of one call
 	heartbeatInterval func() time.Duration        // of a watch
 	queueTimeout      time.Duration
-	skipsAbandoned    bool        // a call whose client has gone takes no service time
-	chargesExpired    bool        // a call that has waited too long is answered 503 at once, and takes service time all the same
-	queueLimit        int         // further calls are answered 503 at once; 0 for none
+	skipsAbandoned    bool        // calls whose client has gone take no service time
+	processesExpired  bool        // calls that time out are answered 503, and take service time all the same
+	queueLimit        int         // calls beyond it are answered 503 at once; 0 for no limit
 	isDown            atomic.Bool // all calls are answered 503 at once
 	queue             chan pendingCall
 	goroutines        sync.WaitGroup
@@ -43,7 +43,7 @@
 	mu            sync.Mutex
 	calls         map[string][]time.Time // by node
 	silenced      chan struct{}          // closed when all watches fall silent
-	closesWatches bool                   // and then their connections are closed
+	closesWatches bool                   // their connections are closed when they fall silent
 	lastRequest   map[string]string      // by node
 }
 
@@ -53,13 +53,13 @@
 	behavior  callBehavior
 	arrivedAt time.Time
 	conn      net.Conn
-	abandoned chan struct{} // closed once its client has gone
-	begun     chan struct{} // closed once it is served
+	abandoned chan struct{} // closed when its client has gone
+	begun     chan struct{} // closed when its answer begins
 }
 
-func newFakeDiscovery(m func(call int) callBehavior) *fakeDiscovery {
+func newFakeDiscovery(behaviorOf func(call int) callBehavior) *fakeDiscovery {
 	return &fakeDiscovery{
-		behavior:          m,
+		behavior:          behaviorOf,
 		serviceTime:       func() time.Duration { return 4 * ms },
 		heartbeatInterval: func() time.Duration { return 2 * time.Second },
 		queueTimeout:      time.Second,
@@ -75,95 +75,96 @@
 		select {
 		case <-ctx.Done():
 			return
-		case v := <-d.queue:
-			isExpired := time.Since(v.arrivedAt) > d.queueTimeout
-			if isExpired && !d.chargesExpired || d.skipsAbandoned && v.isAbandoned() {
-				v.conn.Close()
+		case pending := <-d.queue:
+			isExpired := time.Since(pending.arrivedAt) > d.queueTimeout
+			if isExpired && !d.processesExpired || d.skipsAbandoned && pending.isAbandoned() {
+				pending.conn.Close()
 				continue
 			}
 			time.Sleep(d.serviceTime())
 			if isExpired {
-				continue // it was answered when its time was over
+				continue // enqueue answered it when its timeout expired
 			}
-			close(v.begun)
-			switch v.behavior {
+			close(pending.begun)
+			switch pending.behavior {
 			case answersList, stallsMidList, answersSlowly:
-				d.goroutines.Go(func() { d.watch(ctx, v) })
+				d.goroutines.Go(func() { d.serveWatch(ctx, pending) })
 			case answers503:
-				v.reject()
+				pending.reject()
 			}
 		}
 	}
 }
 
 // reject answers 503.
-func (v pendingCall) reject() {
-	fmt.Fprint(v.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	v.conn.Close()
+func (pending pendingCall) reject() {
+	fmt.Fprint(pending.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	pending.conn.Close()
 }
 
 // enqueue puts a call into the queue, or rejects it because the queue is full.
-func (d *fakeDiscovery) enqueue(v pendingCall) {
+func (d *fakeDiscovery) enqueue(pending pendingCall) {
 	if d.isDown.Load() || d.queueLimit > 0 && len(d.queue) >= d.queueLimit {
-		v.reject()
+		pending.reject()
 		return
 	}
-	d.queue <- v
-	if !d.chargesExpired {
+	d.queue <- pending
+	if !d.processesExpired {
 		return
 	}
 	d.goroutines.Go(func() {
 		select {
-		case <-v.abandoned:
-		case <-v.begun:
+		case <-pending.abandoned:
+		case <-pending.begun:
 		case <-time.After(d.queueTimeout):
-			v.reject()
+			pending.reject()
 		}
 	})
 }
 
 // isAbandoned reports whether the client has gone.
-func (v pendingCall) isAbandoned() bool {
+func (pending pendingCall) isAbandoned() bool {
 	select {
-	case <-v.abandoned:
+	case <-pending.abandoned:
 		return true
 	default:
 		return false
 	}
 }
 
-// watch sends the list, then heartbeats until all watches fall silent or are closed.
-func (d *fakeDiscovery) watch(ctx context.Context, v pendingCall) {
+// serveWatch sends the list, then heartbeats until all watches fall silent or are closed.
+func (d *fakeDiscovery) serveWatch(ctx context.Context, pending pendingCall) {
 	d.mu.Lock()
-	quiet := d.silenced
+	silence := d.silenced
 	d.mu.Unlock()
-	_, err := fmt.Fprintf(v.conn, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":%d,\"reset\":true,\"instances\":[", 7+v.call)
-	if v.behavior == stallsMidList {
-		<-v.abandoned
+	_, err := fmt.Fprintf(pending.conn, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":%d,\"reset\":true,\"instances\":[", 7+pending.call)
+	if pending.behavior == stallsMidList {
+		<-pending.abandoned
 		return
 	}
-	if v.behavior == answersSlowly {
+	if pending.behavior == answersSlowly {
 		time.Sleep(2400 * ms)
 	}
 	if err == nil {
-		_, err = io.WriteString(v.conn, `{"instanceId":"s1","hostPort":"127.1.0.1:7070","lifecycle":"active"}]}`+"\n")
+		_, err = io.WriteString(pending.conn, `{"instanceId":"s1","hostPort":"127.1.0.1:7070","lifecycle":"active"}]}`+"\n")
 	}
 	for err == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-quiet:
-			if _, _ = io.WriteString(v.conn, "\n"); d.closesWatches {
-				v.conn.Close()
+		case <-silence:
+			if _, _ = io.WriteString(pending.conn, "\n"); d.closesWatches {
+				pending.conn.Close()
 			}
 			return
 		case <-time.After(d.heartbeatInterval()):
-			_, err = io.WriteString(v.conn, "\n")
+			_, err = io.WriteString(pending.conn, "\n")
 		}
 	}
 }
 
-// silenceWatches has all watches fall silent at the same moment, after a last heartbeat.
+// silenceWatches makes all watches fall silent at the same moment, after a last heartbeat, whose time it
+// returns.
 func (d *fakeDiscovery) silenceWatches() (last time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,9 +179,9 @@
 		d.mu.Lock()
 		call := len(d.calls[node])
 		d.calls[node] = append(d.calls[node], time.Now())
-		how := d.behavior(call)
+		treatment := d.behavior(call)
 		d.mu.Unlock()
-		switch how {
+		switch treatment {
 		case refusesConnect:
 			return nil, errRefused
 		case connectTimesOut:
@@ -190,24 +191,24 @@
 			}
 			return nil, os.ErrDeadlineExceeded
 		}
-		near, far := net.Pipe()
-		gone := make(chan struct{})
-		d.goroutines.Go(func() { // sockets have buffers and pipes have not
-			r := bufio.NewReader(far)
+		nodeConn, peerConn := net.Pipe()
+		clientGone := make(chan struct{})
+		d.goroutines.Go(func() { // a goroutine stands in for the buffers of a socket, which pipes don't have
+			r := bufio.NewReader(peerConn)
 			line, _ := r.ReadString('\n')
 			d.mu.Lock()
 			d.lastRequest[node] = addr + " " + strings.TrimSpace(line)
 			d.mu.Unlock()
-			d.enqueue(pendingCall{call, how, time.Now(), far, gone, make(chan struct{})})
+			d.enqueue(pendingCall{call, treatment, time.Now(), peerConn, clientGone, make(chan struct{})})
 			_, _ = io.Copy(io.Discard, r)
-			close(gone)
-			far.Close()
+			close(clientGone)
+			peerConn.Close()
 		})
-		return near, nil
+		return nodeConn, nil
 	}
 }
 
-// callsSince is when a node's calls left, relative to from.
+// callsSince returns when a node made its calls after from, relative to from.
 func (d *fakeDiscovery) callsSince(node string, from time.Time) (calls []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,7 +220,7 @@
 	return calls
 }
 
-// randomUpTo draws a duration.
+// randomUpTo returns a random duration from 0 to d.
 func randomUpTo(r *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(d) + 1))
 }
--- a/internal/refmodel/follower_test.go
+++ b/internal/refmodel/follower_test.go
@@ -11,56 +11,56 @@
 	"coralrelay/internal/dispatch"
 )
 
-// follower is the part of a node that follows the endpoint list.
-type follower struct {
+// listWatcher is the part of a node that watches the endpoint list.
+type listWatcher struct {
 	eventLoop *dispatch.EventLoop
-	watch     *discovery.Watcher
+	watcher   *discovery.Watcher
 
 	mu        sync.Mutex
 	updates   []discovery.Update
 	updatedAt []time.Time
 }
 
-func (f *follower) UpdateEndpoints(u discovery.Update) {
-	f.mu.Lock()
-	f.updates, f.updatedAt = append(f.updates, u), append(f.updatedAt, time.Now())
-	f.mu.Unlock()
-	f.eventLoop.UpdateEndpoints(u.ListUpdate())
+func (w *listWatcher) UpdateEndpoints(u discovery.Update) {
+	w.mu.Lock()
+	w.updates, w.updatedAt = append(w.updates, u), append(w.updatedAt, time.Now())
+	w.mu.Unlock()
+	w.eventLoop.UpdateEndpoints(u.ListUpdate())
 }
 
-func (*follower) Probe(string) {}
+func (*listWatcher) Probe(string) {}
 
-// firstFullListAfter is when the first full list after a time arrived; zero if none has.
-func (f *follower) firstFullListAfter(after time.Time) time.Time {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i, u := range f.updates {
-		if u.Kind == balance.ListFull && f.updatedAt[i].After(after) {
-			return f.updatedAt[i]
+// firstFullListAfter returns when the first full list after a time arrived, or zero if none has.
+func (w *listWatcher) firstFullListAfter(after time.Time) time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for i, u := range w.updates {
+		if u.Kind == balance.ListFull && w.updatedAt[i].After(after) {
+			return w.updatedAt[i]
 		}
 	}
 	return time.Time{}
 }
 
-// startFollower starts a follower that ends with ctx.
-func (d *fakeDiscovery) startFollower(
-	ctx context.Context, t *testing.T, node string, seed uint64, set balance.Settings,
-) *follower {
-	f := &follower{}
-	f.watch = discovery.New("discovery:1", f)
-	f.watch.Dial = d.dial(node)
-	f.watch.SetInstances(set.Instances)
-	core, err := dispatch.New(dispatch.NewClock(), seed, set, f, f.watch)
+// startListWatcher starts a listWatcher that ends with ctx.
+func (d *fakeDiscovery) startListWatcher(
+	ctx context.Context, t *testing.T, node string, seed uint64, settings balance.Settings,
+) *listWatcher {
+	w := &listWatcher{}
+	w.watcher = discovery.New("discovery:1", w)
+	w.watcher.Dial = d.dial(node)
+	w.watcher.SetInstances(settings.Instances)
+	loop, err := dispatch.New(dispatch.NewClock(), seed, settings, w, w.watcher)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.eventLoop = core
-	d.goroutines.Go(func() { core.Run(ctx) })
-	d.goroutines.Go(func() { f.watch.Run(ctx, discovery.Update{}) })
-	return f
+	w.eventLoop = loop
+	d.goroutines.Go(func() { loop.Run(ctx) })
+	d.goroutines.Go(func() { w.watcher.Run(ctx, discovery.Update{}) })
+	return w
 }
 
-// pollSettings are the settings of one of n nodes that poll for their list.
+// pollSettings returns the settings of one of n nodes that poll discovery for the list.
 func pollSettings(n int) balance.Settings {
 	return balance.Settings{
 		Instances: n, Tick: 4 * ms, SubscribeRequired: true, SubscribeTimeout: 10 * time.Second,
--- a/internal/refmodel/graceful_restart_test.go
+++ b/internal/refmodel/graceful_restart_test.go
@@ -18,17 +18,18 @@
 	"coralrelay/internal/upstream"
 )
 
-// answerDelays is how long the endpoint of each name takes to answer a line; hung never does.
+// answerDelays are the times that endpoints take to answer a line, by endpoint. The endpoint hung never
+// answers.
 var answerDelays = map[string]time.Duration{"prompt": ms, "late": 600 * ms, "later": 1300 * ms, "hung": time.Hour}
 
-// restartTest is a node on pipes whose endpoints answer with different delays.
+// restartTest is a node that pipes connect to clients and to endpoints with different answer delays.
 type restartTest struct {
 	transcript *transcript
 	goroutines sync.WaitGroup
 }
 
-// serveUpstream serves one connection of an endpoint.
-func (r *restartTest) serveUpstream(how string, conn net.Conn) {
+// serveUpstream serves one connection to an endpoint.
+func (r *restartTest) serveUpstream(endpoint string, conn net.Conn) {
 	defer conn.Close()
 	id, sent := "", 0
 	var writing sync.Mutex
@@ -42,7 +43,7 @@
 	}
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		n := 0
-		switch word, rest, _ := strings.Cut(lines.Text(), " "); word {
+		switch command, rest, _ := strings.Cut(lines.Text(), " "); command {
 		case "STATS":
 			fmt.Fprint(conn, "PONG outstanding=1,x0=0.1,recent_ms=2\r\n")
 		case "OPEN":
@@ -51,9 +52,9 @@
 		default:
 			_, _ = fmt.Sscanf(rest, "%d", &n)
 			r.transcript.recordReceived(id, "up", n)
-			if how != "hung" {
+			if endpoint != "hung" {
 				r.goroutines.Go(func() {
-					time.Sleep(answerDelays[how])
+					time.Sleep(answerDelays[endpoint])
 					send()
 				})
 			}
@@ -61,13 +62,13 @@
 	}
 }
 
-// runClient opens a connection and sends on it, answered or not, for as long as it is open.
+// runClient opens a connection and sends lines on it, answered or not, while it is open.
 func (r *restartTest) runClient(id string, conn net.Conn) {
 	defer conn.Close()
 	fmt.Fprintf(conn, "OPEN %s k%s c=feed,d=1000\r\n", id, id)
 	lines := bufio.NewScanner(conn)
 	if !lines.Scan() || lines.Text() != "UP r1" {
-		return // never established: it is reported as having had no MOVE
+		return // never established: findLosses reports that it was not sent MOVE
 	}
 	moved := make(chan struct{})
 	r.goroutines.Go(func() {
@@ -88,7 +89,7 @@
 		if lines.Text() == "MOVE" {
 			r.transcript.recordTime(r.transcript.movedAt, id)
 			close(moved)
-			time.Sleep(30 * ms) // what it has sent before is read meanwhile
+			time.Sleep(30 * ms) // lets the node read what the client sent before MOVE
 			return
 		}
 		_, _ = fmt.Sscanf(lines.Text(), "line %d", &n)
@@ -97,66 +98,66 @@
 	r.transcript.recordTime(r.transcript.endedAt, id)
 }
 
-// A graceful restart while clients go on sending: until a connection is sent MOVE it loses no line
-// in either direction, also where its endpoint answers late; and none ends without MOVE, also where
-// its endpoint never answers.
+// During a graceful restart clients go on sending. A connection loses no line in either direction before
+// it is sent MOVE, even if its endpoint answers late, and no connection ends without MOVE, even if its
+// endpoint never answers.
 func TestGracefulRestartLosesNoLines(t *testing.T) {
-	for _, longest := range []time.Duration{1200 * ms, 3 * time.Second} {
-		t.Run(longest.String(), func(t *testing.T) {
+	for _, longestAnswer := range []time.Duration{1200 * ms, 3 * time.Second} {
+		t.Run(longestAnswer.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				r := &restartTest{transcript: newTranscript()}
-				door := pipeListener{make(chan net.Conn), make(chan struct{})}
-				hops := upstream.New(ctx, poolLimits)
-				hops.Dial = func(_ context.Context, addr string, _ time.Time) (net.Conn, error) {
-					near, far := net.Pipe()
-					r.goroutines.Go(func() { r.serveUpstream(addr, far) })
-					return near, nil
+				listener := pipeListener{make(chan net.Conn), make(chan struct{})}
+				pool := upstream.New(ctx, poolLimits)
+				pool.Dial = func(_ context.Context, addr string, _ time.Time) (net.Conn, error) {
+					nodeConn, peerConn := net.Pipe()
+					r.goroutines.Go(func() { r.serveUpstream(addr, peerConn) })
+					return nodeConn, nil
 				}
-				set := pollSettings(1)
-				set.LoadReporting.InProbeResults, set.Limits.ProbesAllowed = true, true
-				core, err := dispatch.New(dispatch.NewClock(), 1, set, hops, noDiscovery{})
+				settings := pollSettings(1)
+				settings.LoadReporting.InProbeResults, settings.Limits.ProbesAllowed = true, true
+				eventLoop, err := dispatch.New(dispatch.NewClock(), 1, settings, pool, noDiscovery{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				hops.SetObserver(core)
-				server := downstream.New(core, hops, downstream.Limits{Sockets: 1000})
-				r.goroutines.Go(func() { core.Run(ctx) })
+				pool.SetObserver(eventLoop)
+				server := downstream.New(eventLoop, pool, downstream.Limits{Sockets: 1000})
+				r.goroutines.Go(func() { eventLoop.Run(ctx) })
 				u := discovery.Update{Kind: balance.ListFull}
-				for how := range answerDelays {
-					u.Endpoints = append(u.Endpoints, discovery.Endpoint{Addr: how, ServerEntry: balance.ServerEntry{ID: how}})
+				for endpoint := range answerDelays {
+					u.Endpoints = append(u.Endpoints, discovery.Endpoint{Addr: endpoint, ServerEntry: balance.ServerEntry{ID: endpoint}})
 				}
-				hops.Update(true, u.Endpoints, time.Now())
-				core.UpdateEndpoints(u.ListUpdate())
-				r.goroutines.Go(func() { _ = server.Serve(door) })
+				pool.Update(true, u.Endpoints, time.Now())
+				eventLoop.UpdateEndpoints(u.ListUpdate())
+				r.goroutines.Go(func() { _ = server.Serve(listener) })
 				var clients []string
 				for i := range 60 {
 					id := fmt.Sprint("c", i)
 					clients = append(clients, id)
-					near, far := net.Pipe()
-					door.conns <- near
-					r.goroutines.Go(func() { r.runClient(id, far) })
+					nodeConn, peerConn := net.Pipe()
+					listener.conns <- nodeConn
+					r.goroutines.Go(func() { r.runClient(id, peerConn) })
 					time.Sleep(10 * ms)
 				}
-				begun := time.Now() // as SIGTERM does it
+				drainStart := time.Now() // the drain that SIGTERM starts
 				server.Drain(downstream.DrainPlan{
-					RejectAt:    begun,
-					MoveStartAt: begun.Add(longest / 2),
-					MoveEndAt:   begun.Add(longest + 200*ms),
-					EndAt:       begun.Add(longest + 400*ms),
+					RejectAt:    drainStart,
+					MoveStartAt: drainStart.Add(longestAnswer / 2),
+					MoveEndAt:   drainStart.Add(longestAnswer + 200*ms),
+					EndAt:       drainStart.Add(longestAnswer + 400*ms),
 				})
-				if took := time.Since(begun); took > longest+400*ms || server.OpenSessions() > 0 {
-					t.Errorf("it took %v, %d connections are left", took, server.OpenSessions())
+				if took := time.Since(drainStart); took > longestAnswer+400*ms || server.OpenSessions() > 0 {
+					t.Errorf("the drain took %v; %d connections are left", took, server.OpenSessions())
 				}
-				_ = door.Close()
+				_ = listener.Close()
 				server.Close()
 				cancel()
 				r.goroutines.Wait()
-				for _, wrong := range r.transcript.findLosses(clients) {
-					t.Error(wrong)
+				for _, loss := range r.transcript.findLosses(clients) {
+					t.Error(loss)
 				}
 				if len(r.transcript.received) < 1000 {
-					t.Errorf("only %d lines were passed on", len(r.transcript.received))
+					t.Errorf("only %d lines were received", len(r.transcript.received))
 				}
 			})
 		})
--- a/internal/refmodel/notification.go
+++ b/internal/refmodel/notification.go
@@ -14,7 +14,7 @@
 }
 
 // DiscoveryReachabilityChanged records whether the node can reach discovery from now on. During an
-// outage no change becomes due, so that none counts as notified without a notification.
+// outage no further change counts as notified without a notification.
 func (c *Checker) DiscoveryReachabilityChanged(now time.Duration, reachable bool) {
 	c.CheckDeadlines(now)
 	last := len(c.outages) - 1
--- a/internal/refmodel/requests.go
+++ b/internal/refmodel/requests.go
@@ -58,7 +58,7 @@
 	inGrace := c.inClientGoneGrace(req)
 	c.checkAttempt(req, to, inGrace)
 	if since, isLeaving := c.leavingSince(s); isLeaving && now > since+c.rules.DrainGrace {
-		c.addViolation(3, "%s sent to %s, whose drain or end was notified %v before", id, to, now-since)
+		c.addViolation(3, "%s sent to %s, whose drain or end was notified %v ago", id, to, now-since)
 	}
 	if req.status == unanswered || inGrace {
 		req.inFlightOn, req.sentAt = to, now
--- a/internal/refmodel/rules_hold_test.go
+++ b/internal/refmodel/rules_hold_test.go
@@ -9,9 +9,9 @@
 	"coralrelay/internal/metrics"
 )
 
-// The rules hold from the listener to the servers' sockets, whatever the order of probes,
-// answers, drains, cancellations and ends. That the bubble ends shows that no goroutine of the
-// node outlives it.
+// The rules hold from the listener to the servers' sockets, for any order of load probes, answers,
+// drains, cancellations and connection ends. No goroutine outlives its node, as otherwise the synctest
+// bubble would not end.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	checkRulesHold(t, map[string]faultKind{
 		"flapping": flapping, "hanging": hangingConnects, "crowded": fullFleet, "drained": operatorDrains,
@@ -19,20 +19,20 @@
 	})
 }
 
-// A request that may have run is retried only where its idempotency and its retry window allow,
-// also where the window ends between the decision and the send: while a slow connect is made.
+// A request that may have run is retried only where its idempotency and its retry window allow it, even
+// if the window ends between the decision and the send, during a slow connect.
 func TestRulesHoldWithLateConnects(t *testing.T) {
 	checkRulesHold(t, map[string]faultKind{"late": lateConnects})
 }
 
-// A change counts as notified at most 6 s after discovery had it, whether or not a notification
-// arrived.
+// The rules hold with watches that fall silent: a change counts as notified at most 6 s after discovery
+// had it, whether or not a notification arrived.
 func TestRulesHoldWithSilentWatches(t *testing.T) {
 	checkRulesHold(t, map[string]faultKind{"silent": silentWatches})
 }
 
-// Nothing is sent by a list that discovery, which can be reached, has not confirmed for 6 s, while servers leave
-// and return.
+// While servers leave and return, no attempt is sent by a list that discovery, although reachable, has not
+// confirmed for 6 s.
 func TestRulesHoldWithStarvedLists(t *testing.T) {
 	checkRulesHold(t, map[string]faultKind{"starved": starvedLists})
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// checkMetrics compares the node's own metrics with what clients and servers saw.
+// checkMetrics compares the node's own metrics with what clients and servers observed.
 func (s *simulation) checkMetrics() {
 	answerOf := [...]struct{ metric, answer string }{
 		{"fulfilled", "served"}, {"throttled", "refused"}, {"faulted", "failed"},
@@ -72,15 +72,15 @@
 	}
 }
 
-// checkActivity fails the test where too little happened for it to mean anything.
+// checkActivity fails the test if too little happened for its result to be meaningful.
 func (s *simulation) checkActivity() {
 	if s.faults == silentWatches && s.discovery.fullLists < 6 {
 		s.t.Errorf("only %d full lists were sent", s.discovery.fullLists)
 	}
 	if s.faults == starvedLists && s.discovery.starvations < 3 {
-		s.t.Errorf("lists failed to come only %d times", s.discovery.starvations)
+		s.t.Errorf("lists were withheld only %d times", s.discovery.starvations)
 	}
 	if s.answers["served"] < 60 || s.answers["refused"] < 50 {
-		s.t.Errorf("only these answers were given: %v", s.answers)
+		s.t.Errorf("too few answers: %v", s.answers)
 	}
 }
--- a/internal/refmodel/silent_watch_test.go
+++ b/internal/refmodel/silent_watch_test.go
@@ -13,71 +13,71 @@
 )
 
 const (
-	notifyDeadline = 6 * time.Second // after it, all that a silent watch has missed counts as notified
-	callTimeout    = 1100 * ms       // of a call, until its response's head
+	notifyDeadline = 6 * time.Second // after it, changes that a silent watch has missed count as notified
+	callTimeout    = 1100 * ms       // of a call, until the head of its response
 )
 
-// runInBubble runs f beside a discovery in a synctest bubble, and ends all that f has started.
-func runInBubble(t *testing.T, d func() *fakeDiscovery, f func(ctx context.Context, d *fakeDiscovery)) {
+// runInBubble calls body beside a discovery in a synctest bubble, and ends all goroutines that body started.
+func runInBubble(t *testing.T, d func() *fakeDiscovery, body func(ctx context.Context, d *fakeDiscovery)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := d()
 		d.goroutines.Go(func() { d.run(ctx) })
-		f(ctx, d)
+		body(ctx, d)
 		cancel()
 		d.goroutines.Wait()
 	})
 }
 
 // A watch falls silent, and then discovery hangs, answers 503, refuses or works. Two complete calls
-// fit into the time after which what was missed counts as notified, whatever the number of nodes;
-// where two fail at once, three do.
+// fit into the time after which missed changes count as notified, for any number of nodes; three fit
+// where the first two fail at once.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	behaviors := map[string]callBehavior{
 		"answered": answersList, "unanswered": neverAnswers, "503": answers503, "refused": refusesConnect,
 	}
-	for name, m := range behaviors {
+	for name, behavior := range behaviors {
 		for _, n := range []int{1, 300} {
 			t.Run(fmt.Sprint(name, " ", n), func(t *testing.T) {
-				var first, second, third time.Duration // the latest of all seeds
+				var first, second, third time.Duration // the maxima over all seeds
 				for seed := range uint64(60) {
-					bad := func(call int) callBehavior {
+					behaviorOf := func(call int) callBehavior {
 						if call == 0 {
 							return answersList
 						}
-						return m
+						return behavior
 					}
-					begin := func() *fakeDiscovery { return newFakeDiscovery(bad) }
-					runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-						f := d.startFollower(ctx, t, "n", seed, pollSettings(n))
+					newDiscovery := func() *fakeDiscovery { return newFakeDiscovery(behaviorOf) }
+					runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+						w := d.startListWatcher(ctx, t, "n", seed, pollSettings(n))
 						time.Sleep(20 * time.Second)
 						last := d.silenceWatches()
 						time.Sleep(16 * time.Second)
 						calls := d.callsSince("n", last)
-						if m == answersList {
-							if took := f.firstFullListAfter(last).Sub(last); len(calls) != 1 || took > calls[0]+5*ms {
-								t.Fatalf("seed %d: the list came after %v, asked at %v", seed, took, calls)
+						if behavior == answersList {
+							if took := w.firstFullListAfter(last).Sub(last); len(calls) != 1 || took > calls[0]+5*ms {
+								t.Fatalf("seed %d: the list arrived after %v, calls at %v", seed, took, calls)
 							}
 							calls = append(calls, 0, 0)
 						}
 						first, second, third = max(first, calls[0]), max(second, calls[1]), max(third, calls[2])
 						longestGap := 1300 * ms
-						if m == answers503 && n == 300 { // it may be up, and kept busy by all these nodes
+						if behavior == answers503 && n == 300 { // discovery may be up but overloaded
 							longestGap = 2400 * ms
 						}
-						for i := 4; i < len(calls); i++ { // discovery is down: it is polled with a bounded backoff
-							if gap := calls[i] - calls[i-1]; gap < 750*ms || m != neverAnswers && gap > longestGap {
+						for i := 4; i < len(calls); i++ { // the backoff is bounded
+							if gap := calls[i] - calls[i-1]; gap < 750*ms || behavior != neverAnswers && gap > longestGap {
 								t.Errorf("seed %d: calls at %v", seed, calls)
 							}
 						}
 					})
 				}
-				t.Logf("calls leave at the latest after %v, %v, %v", first, second, third)
+				t.Logf("the calls were made at the latest after %v, %v, %v", first, second, third)
 				if second+callTimeout+100*ms > notifyDeadline {
-					t.Errorf("the second call leaves after %v, and may not end in time", second)
+					t.Errorf("the second call was made after %v and may end too late", second)
 				}
-				if (m == answers503 || m == refusesConnect) && third+callTimeout > notifyDeadline {
-					t.Errorf("the third call leaves after %v, and may not end in time", third)
+				if (behavior == answers503 || behavior == refusesConnect) && third+callTimeout > notifyDeadline {
+					t.Errorf("the third call was made after %v and may end too late", third)
 				}
 			})
 		}
@@ -85,19 +85,19 @@
 }
 
 // Three hundred watches fall silent at the same moment, and discovery, which serves one call at a
-// time, rejects a tenth. All nodes have the list in time, except those whose calls are rejected or
-// dropped three times.
+// time, rejects a tenth of the calls. All nodes have the list in time, except those whose calls are
+// rejected or dropped three times.
 func TestManySilentWatchesAreReplacedInTime(t *testing.T) {
 	const nodes = 300
-	// Simultaneous events come in one order, and the race detector of Go 1.26 fails where so many
-	// timers of one bubble run on several processors.
+	// One processor gives simultaneous events a single order. Besides, the race detector of Go 1.26
+	// fails where so many timers of one bubble run on several processors.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			moods, times := rand.New(rand.NewPCG(seed, 3)), rand.New(rand.NewPCG(seed, 4))
-			begin := func() *fakeDiscovery {
+			rejections, times := rand.New(rand.NewPCG(seed, 3)), rand.New(rand.NewPCG(seed, 4))
+			newDiscovery := func() *fakeDiscovery {
 				d := newFakeDiscovery(func(call int) callBehavior {
-					if call > 0 && moods.Float64() < 0.1 {
+					if call > 0 && rejections.Float64() < 0.1 {
 						return answers503
 					}
 					return answersList
@@ -105,24 +105,24 @@
 				d.serviceTime = func() time.Duration { return 4*ms + randomUpTo(times, 6*ms) }
 				return d
 			}
-			runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-				var all []*follower
+			runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+				var watchers []*listWatcher
 				for i := range nodes {
-					all = append(all, d.startFollower(ctx, t, fmt.Sprint("n", i), seed*nodes+uint64(i), pollSettings(nodes)))
+					watchers = append(watchers, d.startListWatcher(ctx, t, fmt.Sprint("n", i), seed*nodes+uint64(i), pollSettings(nodes)))
 				}
 				time.Sleep(8 * time.Second)
 				last := d.silenceWatches()
 				time.Sleep(12 * time.Second)
 				latest, late, calls := time.Duration(0), 0, 0
-				for i, f := range all {
+				for i, w := range watchers {
 					calls += len(d.callsSince(fmt.Sprint("n", i), last))
-					took := f.firstFullListAfter(last).Sub(last)
+					took := w.firstFullListAfter(last).Sub(last)
 					latest = max(latest, took)
 					if took <= 0 || took > notifyDeadline {
 						late++
 					}
 				}
-				t.Logf("the last has its list after %v, %d too late, %d calls", latest, late, calls)
+				t.Logf("the last node has its list after %v; %d too late; %d calls", latest, late, calls)
 				if late > nodes/100 {
 					t.Errorf("%d of %d nodes have their list too late", late, nodes)
 				}
@@ -131,17 +131,17 @@
 	}
 }
 
-// A heartbeat that is late by less than a quarter of the interval ends no watch.
+// A heartbeat that is late by less than a quarter of the interval does not end the watch.
 func TestLateHeartbeatsKeepWatch(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		begin := func() *fakeDiscovery {
+		newDiscovery := func() *fakeDiscovery {
 			d := newFakeDiscovery(func(int) callBehavior { return answersList })
 			d.heartbeatInterval = func() time.Duration { return 2*time.Second + randomUpTo(rng, 490*ms) }
 			return d
 		}
-		runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-			d.startFollower(ctx, t, "n", seed, pollSettings(1))
+		runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+			d.startListWatcher(ctx, t, "n", seed, pollSettings(1))
 			time.Sleep(5 * time.Minute)
 			if calls := d.callsSince("n", time.Time{}); len(calls) != 1 {
 				t.Errorf("seed %d: %d calls, want 1", seed, len(calls))
@@ -150,31 +150,31 @@
 	}
 }
 
-// After a SIGHUP with another address, discovery is polled there at once. Two complete calls fit into
-// the 4 s after which its list counts as notified, and the poll asks for the full list.
+// After a SIGHUP with another discovery address, the new address is polled at once. Two complete calls
+// fit into the 4 s after which its list counts as notified, and the poll requests the full list.
 func TestNewDiscoveryAddressIsPolledAtOnce(t *testing.T) {
 	failures := map[string]callBehavior{
 		"unanswered": neverAnswers, "503": answers503, "refused": refusesConnect,
 	}
-	for name, m := range failures {
+	for name, behavior := range failures {
 		for seed := range uint64(30) {
-			begin := func() *fakeDiscovery {
+			newDiscovery := func() *fakeDiscovery {
 				return newFakeDiscovery(func(call int) callBehavior {
 					if call == 1 {
-						return m
+						return behavior
 					}
 					return answersList
 				})
 			}
-			runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
-				f := d.startFollower(ctx, t, "n", seed, pollSettings(300))
+			runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
+				w := d.startListWatcher(ctx, t, "n", seed, pollSettings(300))
 				time.Sleep(20 * time.Second)
-				hup := time.Now()
-				f.watch.SetAddress("discovery:2")
+				reloadedAt := time.Now()
+				w.watcher.SetAddress("discovery:2")
 				time.Sleep(10 * time.Second)
-				took := f.firstFullListAfter(hup).Sub(hup)
-				if took <= 0 || took > 4*time.Second-callTimeout || len(d.callsSince("n", hup.Add(-1))) != 2 {
-					t.Errorf("%s, seed %d: the list came after %v", name, seed, took)
+				took := w.firstFullListAfter(reloadedAt).Sub(reloadedAt)
+				if took <= 0 || took > 4*time.Second-callTimeout || len(d.callsSince("n", reloadedAt.Add(-1))) != 2 {
+					t.Errorf("%s, seed %d: the list arrived after %v", name, seed, took)
 				}
 				if r := d.lastRequest["n"]; r != "discovery:2 GET /v1/endpoints?watch=1&from=0 HTTP/1.1" {
 					t.Errorf("%s: %q", name, r)
@@ -184,38 +184,38 @@
 	}
 }
 
-// A pushed list is watched from the start of a process, and watched again after each end; what
-// comes on the watch takes effect at once.
+// A pushed list is watched from the start of a process, and again after each end of the watch; updates
+// from the watch take effect at once.
 func TestPushedListIsWatchedFromStart(t *testing.T) {
 	set, err := settings.Decode([]byte(`{"classes":[{"name":"feed","objective":0.3,"deadline":1,"effect":"read_like"}],
 		"granularity":0.004,"nInstances":300,"limits":{"mostTries":4},"registryMode":"pushed"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	begin := func() *fakeDiscovery {
+	newDiscovery := func() *fakeDiscovery {
 		return newFakeDiscovery(func(int) callBehavior { return answersList })
 	}
-	runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) {
+	runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) {
 		d.serviceTime = func() time.Duration { return 0 }
-		born := time.Now()
-		f := d.startFollower(ctx, t, "n", 1, settings.ForWatch(set))
+		startedAt := time.Now()
+		w := d.startListWatcher(ctx, t, "n", 1, settings.ForWatch(set))
 		time.Sleep(20 * time.Second)
-		calls, listAt := d.callsSince("n", born.Add(-1)), f.firstFullListAfter(born.Add(-1))
-		if len(calls) != 1 || calls[0] != 1 || listAt != born {
-			t.Errorf("calls at %v, the list came at %v, want both at the first moment", calls, f.firstFullListAfter(born))
+		calls, listAt := d.callsSince("n", startedAt.Add(-1)), w.firstFullListAfter(startedAt.Add(-1))
+		if len(calls) != 1 || calls[0] != 1 || listAt != startedAt {
+			t.Errorf("calls at %v, the list arrived at %v, want both at the start", calls, w.firstFullListAfter(startedAt))
 		}
 		for range 3 {
 			last := d.silenceWatches()
 			time.Sleep(20 * time.Second)
-			if took := f.firstFullListAfter(last).Sub(last); took <= 0 || took > 3600*ms {
-				t.Errorf("the list came %v after the watch fell silent", took)
+			if took := w.firstFullListAfter(last).Sub(last); took <= 0 || took > 3600*ms {
+				t.Errorf("the list arrived %v after the watch fell silent", took)
 			}
 		}
-		f.eventLoop.UpdateSettings(settings.ForWatch(set)) // as SIGHUP does
+		w.eventLoop.UpdateSettings(settings.ForWatch(set)) // a reload, as SIGHUP triggers it
 		last := d.silenceWatches()
 		time.Sleep(20 * time.Second)
-		if f.firstFullListAfter(last).IsZero() {
-			t.Error("the list never came after a reload")
+		if w.firstFullListAfter(last).IsZero() {
+			t.Error("no list arrived after a reload")
 		}
 	})
 }
--- a/internal/refmodel/simulation_changes_test.go
+++ b/internal/refmodel/simulation_changes_test.go
@@ -1,6 +1,6 @@
 package refmodel_test
 
-// What happens to the processes of a simulation: changes of servers and settings, drains.
+// The changes that a simulation makes to servers and settings, and its operator drains.
 
 import (
 	"fmt"
@@ -14,12 +14,12 @@
 	"coralrelay/internal/refmodel"
 )
 
-// publish has the processes or, where they poll, discovery know of endpoints.
+// publish sends endpoints to the processes or, if they poll it, to discovery.
 func (s *simulation) publish(kind balance.ListKind, entries ...discovery.Endpoint) {
 	s.record(func(c *refmodel.Checker, now time.Duration) {
 		for _, e := range entries {
 			started := e.StartedAt
-			if started > 0 { // on the checker's clock
+			if started > 0 { // convert to the checker's clock
 				started -= time.Duration(s.startedAt.UnixNano())
 			}
 			if s.faults.isPolled() {
@@ -34,15 +34,15 @@
 		return
 	}
 	s.mu.Lock()
-	nodes := slices.Clone(s.processes)
+	current := slices.Clone(s.processes)
 	s.mu.Unlock()
-	for _, n := range nodes {
-		n.updateEndpoints(kind, entries)
+	for _, p := range current {
+		p.updateEndpoints(kind, entries)
 	}
 }
 
-// drainAndRejoin has operators drain the node, to the end or not, and have it rejoin. Connections
-// that were established when the drain began must be sent MOVE within the plan.
+// drainAndRejoin drains the node as an operator does, to the end or not, and lets it rejoin. Connections
+// that were established at the start of a full drain must be sent MOVE within the drain plan.
 func (s *simulation) drainAndRejoin() {
 	if !s.operatorLock.TryLock() {
 		return
@@ -56,80 +56,80 @@
 		EndAt:       now.Add(time.Hour),
 	})
 	if s.process.server.AcceptsClients() {
-		s.t.Error("it accepts clients while it drains")
+		s.t.Error("the node accepts clients during the drain")
 	}
 	if s.chance(0.5) {
-		time.Sleep(s.randomDuration(time.Second)) // in the middle of it
+		time.Sleep(s.randomDuration(time.Second)) // rejoin in the middle of the drain
 		s.process.server.Rejoin()
 		s.process.server.Rejoin()
 	} else {
-		s.process.server.LameDuck(downstream.DrainPlan{}) // changes nothing
+		s.process.server.LameDuck(downstream.DrainPlan{}) // a second drain has no effect
 		time.Sleep(2 * time.Second)
 		s.mu.Lock()
 		for id, since := range s.openSince {
 			if since.Before(now) {
-				s.t.Errorf("%s is established since %v and was not sent MOVE", id, since.Sub(s.startedAt))
+				s.t.Errorf("%s, established at %v, was not sent MOVE", id, since.Sub(s.startedAt))
 			}
 		}
 		s.mu.Unlock()
 		s.process.server.Rejoin()
 	}
 	if !s.process.server.AcceptsClients() {
-		s.t.Error("it accepts no clients after the drain")
+		s.t.Error("the node accepts no clients after the drain")
 	}
 }
 
-// changeSettings changes how many attempts are allowed.
+// changeSettings changes the maximum number of attempts to a random one.
 func (s *simulation) changeSettings() {
 	s.mu.Lock()
 	s.settings.Limits.MaxAttempts = 1 + s.rng.IntN(4)
 	set := s.settings
 	s.mu.Unlock()
 	s.process.eventLoop.UpdateSettings(set)
-	synctest.Wait() // it is in force
+	synctest.Wait() // until the event loop uses the settings
 	s.record(func(c *refmodel.Checker, now time.Duration) { c.SettingsChanged(now, set.Limits.MaxAttempts) })
 }
 
-// changeRandomServer changes one server's state: it drains, goes, comes back as it was or as a new
-// process.
+// changeRandomServer changes the state of a random server: it drains, goes, or is ready again, with the
+// same process or with a new one.
 func (s *simulation) changeRandomServer() {
 	s.mu.Lock()
-	f := s.servers[fmt.Sprint("s", s.rng.IntN(len(s.servers)))]
-	e := &f.endpoint
+	server := s.servers[fmt.Sprint("s", s.rng.IntN(len(s.servers)))]
+	e := &server.endpoint
 	states := []balance.ServerState{balance.Ready, balance.Ready, balance.Ready, balance.Draining, balance.Gone}
 	e.State = states[s.rng.IntN(len(states))]
 	if e.State == balance.Ready && s.rng.IntN(10) == 0 {
 		e.StartedAt = time.Duration(time.Now().UnixNano())
 	}
-	told := *e
+	published := *e
 	s.mu.Unlock()
-	s.publish(balance.ListDelta, told)
+	s.publish(balance.ListDelta, published)
 }
 
-// drainReadyServer has the first ready server drain, if there is one.
+// drainReadyServer drains the first ready server, if there is one.
 func (s *simulation) drainReadyServer() {
 	s.mu.Lock()
-	var told []discovery.Endpoint
+	var published []discovery.Endpoint
 	for i := range len(s.servers) {
-		if f := s.servers[fmt.Sprint("s", i)]; f.endpoint.State == balance.Ready && len(told) == 0 {
-			f.endpoint.State = balance.Draining
-			told = append(told, f.endpoint)
+		if server := s.servers[fmt.Sprint("s", i)]; server.endpoint.State == balance.Ready && len(published) == 0 {
+			server.endpoint.State = balance.Draining
+			published = append(published, server.endpoint)
 		}
 	}
 	s.mu.Unlock()
-	s.publish(balance.ListDelta, told...)
+	s.publish(balance.ListDelta, published...)
 }
 
-// restartServer ends a server's process with all its connections and starts another.
+// restartServer ends a server's process with all its connections and starts a new one.
 func (s *simulation) restartServer(id string) {
 	s.mu.Lock()
-	f := s.servers[id]
-	for conn := range f.conns {
+	server := s.servers[id]
+	for conn := range server.conns {
 		conn.Close()
 	}
-	clear(f.conns)
-	f.endpoint.StartedAt = time.Duration(time.Now().UnixNano())
-	told := f.endpoint
+	clear(server.conns)
+	server.endpoint.StartedAt = time.Duration(time.Now().UnixNano())
+	published := server.endpoint
 	s.mu.Unlock()
-	s.publish(balance.ListDelta, told)
+	s.publish(balance.ListDelta, published)
 }
--- a/internal/refmodel/simulation_clients_test.go
+++ b/internal/refmodel/simulation_clients_test.go
@@ -13,8 +13,8 @@
 	"coralrelay/internal/refmodel"
 )
 
-// classes have every kind of idempotency. Retry windows are so short that many end while an attempt
-// is in flight, or while its connect is.
+// classes cover every kind of idempotency. Their retry windows are so short that many end while an attempt
+// is in flight or connecting.
 var classes = []balance.Class{
 	{Name: "feed"},
 	{Name: "once", Idempotency: balance.NonIdempotent},
@@ -23,24 +23,24 @@
 	{Name: "celled", Idempotency: balance.IdempotencyKeyed, KeyScope: balance.ScopeCell, KeyWindow: 200 * ms},
 }
 
-// retriesOf is what the checker has to know of a class.
-func (s *simulation) retriesOf(c balance.Class) refmodel.RetryPolicy {
-	r := refmodel.RetryPolicy{Forbidden: c.Idempotency == balance.NonIdempotent}
+// retryPolicyOf returns the checker's retry policy for a class.
+func (s *simulation) retryPolicyOf(c balance.Class) refmodel.RetryPolicy {
+	policy := refmodel.RetryPolicy{Forbidden: c.Idempotency == balance.NonIdempotent}
 	if c.Idempotency != balance.IdempotencyKeyed {
-		return r
+		return policy
 	}
-	r.Within = c.KeyWindow
-	switch c.KeyScope { // the place of a server never changes
+	policy.Within = c.KeyWindow
+	switch c.KeyScope { // the zone and cell of a server never change
 	case balance.ScopeZone:
-		r.AllowedOn = func(ran, to string) bool { return s.servers[ran].endpoint.Zone == s.servers[to].endpoint.Zone }
+		policy.AllowedOn = func(ran, to string) bool { return s.servers[ran].endpoint.Zone == s.servers[to].endpoint.Zone }
 	case balance.ScopeCell:
-		r.AllowedOn = func(ran, to string) bool { return s.servers[ran].endpoint.Cell == s.servers[to].endpoint.Cell }
+		policy.AllowedOn = func(ran, to string) bool { return s.servers[ran].endpoint.Cell == s.servers[to].endpoint.Cell }
 	}
-	return r
+	return policy
 }
 
-// runClient is one request, as its client sees it.
-func (s *simulation) runClient(leaves bool) {
+// runClient sends one request and reports to the checker what its client observes.
+func (s *simulation) runClient(leavesEarly bool) {
 	s.mu.Lock()
 	s.lastID++
 	id := fmt.Sprint("r", s.lastID)
@@ -49,45 +49,47 @@
 		class = classes[1+s.rng.IntN(len(classes)-1)]
 	}
 	s.mu.Unlock()
-	wait := 200*ms + s.randomDuration(800*ms)
-	near, far := net.Pipe()
-	defer far.Close()
-	s.record(func(c *refmodel.Checker, now time.Duration) { c.RequestArrived(now, id, now+wait, s.retriesOf(class)) })
-	s.clientConns <- &sharedConn{Conn: near}
-	if _, err := fmt.Fprintf(far, "OPEN %s k c=%s,d=%d\r\n", id, class.Name, wait.Milliseconds()); err != nil {
+	timeout := 200*ms + s.randomDuration(800*ms)
+	nodeConn, clientConn := net.Pipe()
+	defer clientConn.Close()
+	s.record(func(c *refmodel.Checker, now time.Duration) {
+		c.RequestArrived(now, id, now+timeout, s.retryPolicyOf(class))
+	})
+	s.clientConns <- &sharedConn{Conn: nodeConn}
+	if _, err := fmt.Fprintf(clientConn, "OPEN %s k c=%s,d=%d\r\n", id, class.Name, timeout.Milliseconds()); err != nil {
 		s.t.Errorf("%s: %v", id, err)
 	}
-	if leaves {
-		gone := time.AfterFunc(s.randomDuration(100*ms), func() {
+	if leavesEarly {
+		leaveTimer := time.AfterFunc(s.randomDuration(100*ms), func() {
 			s.record(func(c *refmodel.Checker, now time.Duration) { c.ClientLeft(now, id) })
-			far.Close()
+			clientConn.Close()
 		})
-		defer gone.Stop()
+		defer leaveTimer.Stop()
 	}
-	standing := false
+	established := false
 	defer func() {
 		s.mu.Lock()
 		delete(s.openSince, id)
 		s.mu.Unlock()
 	}()
-	for lines := bufio.NewScanner(far); lines.Scan(); {
-		switch word, _, _ := strings.Cut(lines.Text(), " "); {
-		case standing:
+	for lines := bufio.NewScanner(clientConn); lines.Scan(); {
+		switch command, _, _ := strings.Cut(lines.Text(), " "); {
+		case established:
 			if lines.Text() == "MOVE" || lines.Text() == "BYE" {
-				return // pipes can't be half closed: the client need not wait for the end
+				return // pipes can't be half closed: the client closes without waiting for the other side
 			}
 			if lines.Text() == "yes" {
 				time.Sleep(300 * ms)
-				s.sendLine(far)
+				s.sendLine(clientConn)
 			}
-		case word == "UP":
-			standing = true
+		case command == "UP":
+			established = true
 			s.mu.Lock()
 			s.openSince[id] = time.Now()
 			s.mu.Unlock()
 			s.recordAnswer(id, class.Name, "served", refmodel.Served)
-			s.sendLine(far)
-		case word == "BUSY":
+			s.sendLine(clientConn)
+		case command == "BUSY":
 			s.recordAnswer(id, class.Name, "refused", refmodel.Refused)
 		default:
 			s.recordAnswer(id, class.Name, "failed", refmodel.Failed)
@@ -95,20 +97,20 @@
 	}
 }
 
-// sendLine writes a client's line while the client goes on reading: sockets have buffers and pipes
-// have none.
-func (s *simulation) sendLine(far net.Conn) {
+// sendLine writes a client's line in the background, so that the client goes on reading: unlike sockets,
+// pipes have no buffers.
+func (s *simulation) sendLine(clientConn net.Conn) {
 	s.background.Go(func() {
-		_ = far.SetWriteDeadline(time.Now().Add(time.Second))
-		fmt.Fprintf(far, "are you there\r\n")
+		_ = clientConn.SetWriteDeadline(time.Now().Add(time.Second))
+		fmt.Fprintf(clientConn, "are you there\r\n")
 	})
 }
 
 // recordAnswer reports a final answer to the checker and counts it.
-func (s *simulation) recordAnswer(id, class, how string, a refmodel.Answer) {
+func (s *simulation) recordAnswer(id, class, name string, answer refmodel.Answer) {
 	s.record(func(c *refmodel.Checker, now time.Duration) {
-		c.RequestAnswered(now, id, a)
-		s.answers[how]++
-		s.answersByClass[class+how]++
+		c.RequestAnswered(now, id, answer)
+		s.answers[name]++
+		s.answersByClass[class+name]++
 	})
 }
--- a/internal/refmodel/simulation_config_test.go
+++ b/internal/refmodel/simulation_config_test.go
@@ -7,64 +7,64 @@
 	"coralrelay/internal/refmodel"
 )
 
-// faultKind is what a simulation has to stand.
+// faultKind is the kind of faults that a simulation injects.
 type faultKind int
 
 const (
-	flapping             faultKind = iota // servers come and go, reject and reset
+	flapping             faultKind = iota // servers come and go, reject and reset requests
 	hangingConnects                       // flapping, and some connects hang
-	lateConnects                          // flapping, and many connects are slow; servers answer errors more often
-	fullFleet                             // a full fleet, one of whose servers restarts, cold and empty
-	operatorDrains                        // flapping, and operators drain the node and have it rejoin
+	lateConnects                          // flapping, and many connects are slow; servers send more errors
+	fullFleet                             // a full fleet, in which one server restarts cold and empty
+	operatorDrains                        // flapping, and operators drain the node and let it rejoin
 	settingsChanges                       // flapping, and the settings change
-	hotRestarts                           // flapping, and successors take over from the node
+	hotRestarts                           // flapping, and hot restarts replace the node's process
 	silentWatches                         // flapping, and discovery is polled: watches fall silent and calls fail
-	overlappingProcesses                  // a full fleet, and two processes serve most of the time
-	starvedLists                          // flapping, and discovery is polled: for many seconds no list or change comes
+	overlappingProcesses                  // a full fleet, and two processes serve it most of the time
+	starvedLists                          // flapping, and discovery is polled: no list or change for many seconds
 )
 
 // isPolled reports whether the node polls discovery.
-func (k faultKind) isPolled() bool { return k == silentWatches || k == starvedLists }
+func (kind faultKind) isPolled() bool { return kind == silentWatches || kind == starvedLists }
 
-func (k faultKind) isFullFleet() bool { return k == fullFleet || k == overlappingProcesses }
+func (kind faultKind) isFullFleet() bool { return kind == fullFleet || kind == overlappingProcesses }
 
-// simulationConfig sizes a simulation.
+// simulationConfig holds the sizes and rates of a simulation.
 type simulationConfig struct {
-	duration    time.Duration
-	servers     int
-	capacity    float64       // of each server
-	serverRate  float64       // requests a second of a warm server, for the checker; 0 for no rule
-	longestStep time.Duration // between two events
-	calmShare   float64       // of the events that are a new client
-	promptLimit time.Duration // the checker's
+	duration      time.Duration
+	servers       int
+	capacity      float64       // of each server
+	serverRate    float64       // the checker's: requests per second of a warm server; 0 disables rule 4
+	longestStep   time.Duration // the longest time between two events
+	clientShare   float64       // the share of events that are new clients
+	failFastLimit time.Duration // the checker's Rules.FailFastLimit
 }
 
-func configOf(k faultKind) simulationConfig {
+func configOf(kind faultKind) simulationConfig {
 	config := simulationConfig{
 		duration:    30 * time.Second,
 		servers:     4,
 		capacity:    serverCapacity,
 		longestStep: 60 * ms,
-		calmShare:   0.9,
+		clientShare: 0.9,
 	}
-	switch k {
-	case silentWatches: // a change lasts longer than its notification may take
-		config.duration, config.calmShare = 90*time.Second, 0.98
-	case starvedLists: // servers leave and return while nothing is heard of them
-		config.duration, config.calmShare = 120*time.Second, 0.96
-	case hangingConnects, lateConnects: // nobody outside sees an attempt before it is connected
-		config.promptLimit = connectTimeout
+	switch kind {
+	case silentWatches: // changes last longer than their notifications may take
+		config.duration, config.clientShare = 90*time.Second, 0.98
+	case starvedLists: // servers leave and return while the node receives no lists
+		config.duration, config.clientShare = 120*time.Second, 0.96
+	case hangingConnects, lateConnects: // the checker doesn't see attempts that are connecting
+		config.failFastLimit = connectTimeout
 	case fullFleet:
 		config.servers, config.longestStep = 6, 20*ms
 		config.serverRate = serverCapacity / meanConnLifetime.Seconds()
-	case overlappingProcesses: // small servers, for which a few requests more are many
+	case overlappingProcesses: // small servers, which a few extra requests overload
 		config.servers, config.capacity = 6, smallServerCapacity
 		config.serverRate = smallServerCapacity / meanConnLifetime.Seconds()
 	}
 	return config
 }
 
-// simulationSettings are the node's settings.
+// simulationSettings returns the node's settings.
 func simulationSettings() balance.Settings {
 	settings := balance.Settings{
 		Instances: 1, Tick: 4 * ms, SubscribeRequired: true, SubscribeTimeout: 10 * time.Second,
@@ -84,11 +84,11 @@
 	return settings
 }
 
-// checkerRules are the rules that follow from simulationSettings.
+// checkerRules returns the rules that correspond to simulationSettings.
 func checkerRules(config simulationConfig) refmodel.Rules {
 	return refmodel.Rules{
 		MaxAttempts: 4, DrainGrace: 300 * ms, NotifyDelay: 6 * time.Second,
-		FailFastLimit: config.promptLimit, Tick: 4 * ms,
+		FailFastLimit: config.failFastLimit, Tick: 4 * ms,
 		SlowStartDuration: 20 * time.Second, SlowStartShare: 0.2, ServerRate: config.serverRate,
 		OverloadMultiple: 3, OverloadWindow: 1500 * ms, ChanceAllowance: 3,
 	}
--- a/internal/refmodel/simulation_discovery_test.go
+++ b/internal/refmodel/simulation_discovery_test.go
@@ -1,7 +1,7 @@
 package refmodel_test
 
-// A simulation's discovery, which the node polls: watches fall silent and calls fail, and a change
-// counts as notified in the end, whether or not its notification arrived.
+// The discovery of a simulation, which the node polls. Watches fall silent and calls fail; a change counts
+// as notified after a delay, whether or not its notification arrived.
 
 import (
 	"bufio"
@@ -19,18 +19,18 @@
 
 // simDiscovery is a discovery service. The simulation's lock guards its fields.
 type simDiscovery struct {
-	sim            *simulation
-	watches        map[net.Conn]chan string // those that are sent changes
-	silencedAt     time.Time                // when all watches last fell silent
-	lastCallFailed bool                     // of two calls in a row at least one succeeds
-	fullLists      int                      // full lists sent
-	starvedUntil   time.Time                // no call gets a list before
-	starvations    int                      // how often that was so
-	rejectsAtOnce  bool                     // meanwhile all calls are rejected at once, as by a full queue
-	isDown         bool                     // nobody listens meanwhile
+	sim                *simulation
+	watches            map[net.Conn]chan string // the watches that are sent changes
+	silencedAt         time.Time                // when all watches last fell silent
+	lastCallFailed     bool                     // if so, the next call succeeds
+	fullLists          int                      // number of full lists sent
+	starvedUntil       time.Time                // no call gets a list before this time
+	starvations        int                      // number of periods without lists
+	rejectsImmediately bool                     // until starvedUntil all calls are rejected at once, as by a full queue
+	isDown             bool                     // until starvedUntil connects are refused
 }
 
-// silenceWatches has all watches fall silent, unless they just did.
+// silenceWatches makes all watches fall silent, unless they did so recently. It returns whether it did.
 func (d *simDiscovery) silenceWatches() bool {
 	d.sim.mu.Lock()
 	defer d.sim.mu.Unlock()
@@ -42,7 +42,7 @@
 	return true
 }
 
-// marshalInstances returns entries in discovery's JSON.
+// marshalInstances returns entries in discovery's JSON format.
 func marshalInstances(entries ...discovery.Endpoint) string {
 	var list []string
 	for _, e := range entries {
@@ -53,30 +53,30 @@
 	return strings.Join(list, ",")
 }
 
-// broadcast sends changes to the watches.
+// broadcast sends changes to all watches.
 func (d *simDiscovery) broadcast(entries ...discovery.Endpoint) {
 	d.sim.mu.Lock()
 	defer d.sim.mu.Unlock()
-	for _, w := range d.watches {
-		w <- fmt.Sprintf(`{"generation":2,"instances":[%s]}`+"\n", marshalInstances(entries...))
+	for _, watch := range d.watches {
+		watch <- fmt.Sprintf(`{"generation":2,"instances":[%s]}`+"\n", marshalInstances(entries...))
 	}
 }
 
-// minFed is for how long lists come between two times in which none do.
-const minFed = 8 * time.Second
+// minTimeWithLists is the minimum time between two periods without lists.
+const minTimeWithLists = 8 * time.Second
 
-// starve has all watches fall silent, and no call get a list, for a time, unless that was so just now. Now and then
-// discovery is down meanwhile: nobody listens.
+// starve makes all watches fall silent and lets no call get a list for a time, unless the last such period
+// ended less than minTimeWithLists ago. At random, discovery also refuses connects in the meantime.
 func (d *simDiscovery) starve(length time.Duration) {
 	goesDown := d.sim.chance(0.3)
 	d.sim.mu.Lock()
-	if time.Since(d.starvedUntil) < minFed {
+	if time.Since(d.starvedUntil) < minTimeWithLists {
 		d.sim.mu.Unlock()
 		return
 	}
 	d.starvedUntil = time.Now().Add(length)
 	d.starvations++
-	d.rejectsAtOnce = d.sim.rng.IntN(2) == 0
+	d.rejectsImmediately = d.sim.rng.IntN(2) == 0
 	d.isDown = goesDown
 	clear(d.watches)
 	d.sim.mu.Unlock()
@@ -93,29 +93,30 @@
 	})
 }
 
-// starvedTreatments is how many ways starveCall has. The first are those that reject a call at once.
-const starvedTreatments, promptTreatments = 7, 2
+// starvedBehaviors is the number of behaviors of starveCall. The first immediateBehaviors of them reject a
+// call at once.
+const starvedBehaviors, immediateBehaviors = 7, 2
 
-// starveCall treats one call while no list comes: it is never answered, rejected late or at once, reset, or answered in
-// part.
-func (d *simDiscovery) starveCall(far net.Conn, treatment int) {
-	switch treatment {
+// starveCall treats one call without sending a list: it never answers it, rejects it late or at once, resets
+// it, or answers it in part.
+func (d *simDiscovery) starveCall(conn net.Conn, behavior int) {
+	switch behavior {
 	case 0:
-		fmt.Fprint(far, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		far.Close()
+		fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		conn.Close()
 	case 1:
-		far.Close()
+		conn.Close()
 	case 2:
 	case 3:
 		time.Sleep(1500 * ms)
-		fmt.Fprint(far, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		far.Close()
+		fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		conn.Close()
 	case 4:
-		fmt.Fprint(far, "HTTP/1.1 200 OK\r\n\r\n")
+		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n")
 	case 5:
-		fmt.Fprint(far, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":1,\"reset\":true,\"inst")
+		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":1,\"reset\":true,\"inst")
 	default:
-		fmt.Fprint(far, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":1,\"reset\":true}\n")
+		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n{\"generation\":1,\"reset\":true}\n")
 	}
 }
 
@@ -126,67 +127,67 @@
 	if isDown {
 		return nil, errRefused
 	}
-	near, far := net.Pipe()
+	nodeConn, conn := net.Pipe()
 	d.sim.background.Go(func() {
-		defer far.Close()
-		r := bufio.NewReader(far)
+		defer conn.Close()
+		r := bufio.NewReader(conn)
 		for line := ""; line != "\r\n"; {
 			var err error
 			if line, err = r.ReadString('\n'); err != nil {
 				return
 			}
 		}
-		d.serveWatch(far)
-		_, _ = io.Copy(io.Discard, r) // silent until the node gives up
+		d.serveWatch(conn)
+		_, _ = io.Copy(io.Discard, r) // stays silent until the node gives up
 	})
-	return near, nil
+	return nodeConn, nil
 }
 
-// serveWatch answers a call, and then sends changes until the watch falls silent.
-func (d *simDiscovery) serveWatch(far net.Conn) {
+// serveWatch answers a call and, if it succeeds, sends changes until the watch falls silent.
+func (d *simDiscovery) serveWatch(conn net.Conn) {
 	d.sim.mu.Lock()
 	if time.Now().Before(d.starvedUntil) {
-		treatments := starvedTreatments
-		if d.rejectsAtOnce {
-			treatments = promptTreatments
+		behaviors := starvedBehaviors
+		if d.rejectsImmediately {
+			behaviors = immediateBehaviors
 		}
-		treatment := d.sim.rng.IntN(treatments)
+		behavior := d.sim.rng.IntN(behaviors)
 		d.sim.mu.Unlock()
-		d.starveCall(far, treatment)
+		d.starveCall(conn, behavior)
 		return
 	}
 	if d.lastCallFailed = !d.lastCallFailed && d.sim.rng.IntN(3) == 0; d.lastCallFailed {
 		hangs := d.sim.rng.IntN(2) == 0
 		d.sim.mu.Unlock()
 		if !hangs {
-			fmt.Fprint(far, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-			far.Close()
+			fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+			conn.Close()
 		}
 		return
 	}
-	var all []discovery.Endpoint
-	for _, f := range d.sim.servers {
-		all = append(all, f.endpoint)
+	var endpoints []discovery.Endpoint
+	for _, server := range d.sim.servers {
+		endpoints = append(endpoints, server.endpoint)
 	}
 	changes := make(chan string, 1000)
-	d.watches[far] = changes
+	d.watches[conn] = changes
 	d.fullLists++
 	d.sim.mu.Unlock()
 	defer func() {
 		d.sim.mu.Lock()
-		delete(d.watches, far)
+		delete(d.watches, conn)
 		d.sim.mu.Unlock()
 	}()
 	text := "HTTP/1.1 200 OK\r\n\r\n" +
-		fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", marshalInstances(all...))
+		fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", marshalInstances(endpoints...))
 	for {
 		d.sim.mu.Lock()
-		silent := d.watches[far] == nil
+		silent := d.watches[conn] == nil
 		d.sim.mu.Unlock()
 		if silent {
 			return
 		}
-		if _, err := io.WriteString(far, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			return
 		}
 		select {
@@ -197,20 +198,20 @@
 	}
 }
 
-// endpointSink reports discovery's updates to the checker, and then to the process.
+// endpointSink passes discovery's updates to the checker and then to the process.
 type endpointSink struct {
 	sim     *simulation
 	process *process
 }
 
-func (k endpointSink) UpdateEndpoints(u discovery.Update) {
+func (sink endpointSink) UpdateEndpoints(u discovery.Update) {
 	if u.Kind == balance.ListFull || u.Kind == balance.ListDelta {
-		k.sim.record(func(c *refmodel.Checker, now time.Duration) {
+		sink.sim.record(func(c *refmodel.Checker, now time.Duration) {
 			for _, e := range u.Endpoints {
 				c.NodeNotified(now, e.ID, refmodel.ServerState(e.State), 0)
 			}
 		})
-		k.process.pool.Update(u.Kind == balance.ListFull, u.Endpoints, time.Now())
+		sink.process.pool.Update(u.Kind == balance.ListFull, u.Endpoints, time.Now())
 	}
-	k.process.eventLoop.UpdateEndpoints(u.ListUpdate())
+	sink.process.eventLoop.UpdateEndpoints(u.ListUpdate())
 }
--- a/internal/refmodel/simulation_process_test.go
+++ b/internal/refmodel/simulation_process_test.go
@@ -1,6 +1,6 @@
 package refmodel_test
 
-// The processes of a simulation, and how one takes over from another.
+// The processes of a simulation, and the hot restart from one to another.
 
 import (
 	"bytes"
@@ -33,79 +33,80 @@
 	goroutines sync.WaitGroup
 }
 
-// startProcess starts a process with the endpoints of the last one.
+// startProcess starts a process with the present endpoints.
 func (s *simulation) startProcess(list ...discovery.Endpoint) *process {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &process{listener: pipeListener{s.clientConns, make(chan struct{})}, cancel: cancel}
-	n.pool = upstream.New(ctx, poolLimits)
-	n.pool.Dial = s.dialServer
-	var lists dispatch.Discovery = noDiscovery{}
-	watch := discovery.New("discovery:1", endpointSink{s, n})
-	watch.Dial = s.discovery.dial
+	p := &process{listener: pipeListener{s.clientConns, make(chan struct{})}, cancel: cancel}
+	p.pool = upstream.New(ctx, poolLimits)
+	p.pool.Dial = s.dialServer
+	var listSource dispatch.Discovery = noDiscovery{}
+	watcher := discovery.New("discovery:1", endpointSink{s, p})
+	watcher.Dial = s.discovery.dial
 	if s.faults.isPolled() {
-		lists = watch
-		n.pool.ListStatus = watch.Status
-		watch.SetTerms(listlease.Terms{DrainGrace: poolLimits.DrainGrace})
-		watch.OnLease = func(status listlease.Status) { n.eventLoop.UpdateListLease(status.ExpiresAt) }
+		listSource = watcher
+		p.pool.ListStatus = watcher.Status
+		watcher.SetTerms(listlease.Terms{DrainGrace: poolLimits.DrainGrace})
+		watcher.OnLease = func(status listlease.Status) { p.eventLoop.UpdateListLease(status.ExpiresAt) }
 	}
-	core, err := dispatch.New(dispatch.NewClock(), uint64(s.randomDuration(time.Hour)), s.settings, n.pool, lists)
+	loop, err := dispatch.New(dispatch.NewClock(), uint64(s.randomDuration(time.Hour)), s.settings, p.pool, listSource)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	n.eventLoop = core
-	n.pool.SetObserver(core)
-	n.server = downstream.New(core, n.pool, downstream.Limits{Sockets: 1000})
-	n.server.Metrics = s.metrics
-	n.goroutines.Go(func() { core.Run(ctx) })
+	p.eventLoop = loop
+	p.pool.SetObserver(loop)
+	p.server = downstream.New(loop, p.pool, downstream.Limits{Sockets: 1000})
+	p.server.Metrics = s.metrics
+	p.goroutines.Go(func() { loop.Run(ctx) })
 	if s.faults.isPolled() {
-		n.goroutines.Go(func() { watch.Run(ctx, discovery.Update{}) })
+		p.goroutines.Go(func() { watcher.Run(ctx, discovery.Update{}) })
 	} else {
-		n.updateEndpoints(balance.ListFull, list)
+		p.updateEndpoints(balance.ListFull, list)
 	}
 	s.mu.Lock()
-	s.processes = append(s.processes, n)
+	s.processes = append(s.processes, p)
 	s.mu.Unlock()
-	n.goroutines.Go(func() { _ = n.server.Serve(n.listener) })
-	return n
+	p.goroutines.Go(func() { _ = p.server.Serve(p.listener) })
+	return p
 }
 
-func (n *process) updateEndpoints(kind balance.ListKind, entries []discovery.Endpoint) {
+func (p *process) updateEndpoints(kind balance.ListKind, entries []discovery.Endpoint) {
 	u := discovery.Update{Kind: kind, Endpoints: entries}
-	n.pool.Update(kind != balance.ListDelta, entries, time.Now())
-	n.eventLoop.UpdateEndpoints(u.ListUpdate())
+	p.pool.Update(kind != balance.ListDelta, entries, time.Now())
+	p.eventLoop.UpdateEndpoints(u.ListUpdate())
 }
 
-// endProcess ends a process: at once, or as one that is replaced by next.
-func (s *simulation) endProcess(n *process, next proxy.Successor) {
+// endProcess ends a process: at once if next is nil, or else with a drain that hands its sessions over
+// to next.
+func (s *simulation) endProcess(p *process, next proxy.Successor) {
 	if next == nil {
-		_ = n.listener.Close()
+		_ = p.listener.Close()
 	} else {
 		now := time.Now()
 		end := now.Add(1400 * ms)
-		n.server.Drain(downstream.DrainPlan{
+		p.server.Drain(downstream.DrainPlan{
 			RejectAt: end, MoveStartAt: now, MoveEndAt: end, EndAt: end, Successor: next,
 		})
 		if took := time.Since(now); took > 1400*ms {
 			s.t.Errorf("the drain took %v", took)
 		}
-		if left := n.server.OpenSessions(); left > 0 {
+		if left := p.server.OpenSessions(); left > 0 {
 			s.t.Errorf("%d connections were not answered, handed over or moved", left)
 		}
 	}
-	n.server.Close()
+	p.server.Close()
 	s.mu.Lock()
-	s.processes = slices.DeleteFunc(s.processes, func(o *process) bool { return o == n })
+	s.processes = slices.DeleteFunc(s.processes, func(other *process) bool { return other == p })
 	s.mu.Unlock()
-	n.cancel()
-	n.goroutines.Wait()
+	p.cancel()
+	p.goroutines.Wait()
 }
 
-// replaceProcess has a successor take over from the process, which ends in the background.
+// replaceProcess starts a successor that takes over from the process, which ends in the background.
 func (s *simulation) replaceProcess() {
 	s.mu.Lock()
 	var list []discovery.Endpoint
-	for _, f := range s.servers {
-		list = append(list, f.endpoint)
+	for _, srv := range s.servers {
+		list = append(list, srv.endpoint)
 	}
 	s.mu.Unlock()
 	old := s.process
@@ -130,52 +131,52 @@
 	})
 }
 
-// successor is the process that takes over, as the hot restart's socket would present it. Now and
-// then it refuses a session.
+// successor is the process that takes over, in the role of the hot restart's socket. It refuses sessions
+// at random.
 type successor struct {
 	sim    *simulation
 	server *downstream.Server
 }
 
-func (h successor) Take(session proxy.EstablishedSession, client, endpoint net.Conn) bool {
-	if h.sim.chance(0.1) {
+func (s successor) Take(session proxy.EstablishedSession, client, endpoint net.Conn) bool {
+	if s.sim.chance(0.1) {
 		return false
 	}
-	session.FromClient = bytes.Clone(session.FromClient) // as sending it does
+	session.FromClient = bytes.Clone(session.FromClient) // the socket would copy it too
 	session.FromUpstream = bytes.Clone(session.FromUpstream)
-	a, b := client.(*sharedConn), endpoint.(*sharedConn)
-	a.handedOver.Store(true)
-	b.handedOver.Store(true)
-	if h.server.Adopt(session, &sharedConn{Conn: a.Conn}, &sharedConn{Conn: b.Conn}) {
+	sharedClient, sharedEndpoint := client.(*sharedConn), endpoint.(*sharedConn)
+	sharedClient.handedOver.Store(true)
+	sharedEndpoint.handedOver.Store(true)
+	if s.server.Adopt(session, &sharedConn{Conn: sharedClient.Conn}, &sharedConn{Conn: sharedEndpoint.Conn}) {
 		return true
 	}
-	a.handedOver.Store(false)
-	b.handedOver.Store(false)
+	sharedClient.handedOver.Store(false)
+	sharedEndpoint.handedOver.Store(false)
 	return false
 }
 
-// sharedConn is one process's descriptor of a connection: once another process has one too, closing
-// this one does not end the connection.
+// sharedConn is one process's descriptor of a connection. Once another process has a descriptor of the same
+// connection, closing this one does not end the connection.
 type sharedConn struct {
 	net.Conn
 	handedOver atomic.Bool
 }
 
-func (h *sharedConn) Close() error {
-	if h.handedOver.Load() {
+func (s *sharedConn) Close() error {
+	if s.handedOver.Load() {
 		return nil
 	}
-	return h.Conn.Close()
+	return s.Conn.Close()
 }
 
-func (h *sharedConn) SetReadDeadline(t time.Time) error {
-	if h.handedOver.Load() {
+func (s *sharedConn) SetReadDeadline(t time.Time) error {
+	if s.handedOver.Load() {
 		return nil
 	}
-	return h.Conn.SetReadDeadline(t)
+	return s.Conn.SetReadDeadline(t)
 }
 
-// pipeListener hands the node what clients dial.
+// pipeListener accepts the connections that are sent on conns.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -193,7 +194,7 @@
 func (l pipeListener) Close() error { close(l.done); return nil }
 func (pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// noDiscovery is for processes whose list is pushed.
+// noDiscovery is the discovery of processes whose lists are pushed.
 type noDiscovery struct{}
 
 func (noDiscovery) Subscribe() {}
--- a/internal/refmodel/simulation_servers_test.go
+++ b/internal/refmodel/simulation_servers_test.go
@@ -22,21 +22,21 @@
 	endpoint discovery.Endpoint
 }
 
-// attempt is the node's end of a connection to a server. An attempt is in flight until its server
-// has answered or the node has closed it.
+// attempt is the node's end of a connection to a server. The attempt is in flight until the server has
+// answered or the node has closed the connection.
 type attempt struct {
 	net.Conn
 	sim      *simulation
-	id       string // guarded by the simulation's lock; empty before the first line, and for probes
+	id       string // guarded by the simulation's lock; empty before the OPEN line, and for load probes
 	finished bool
 }
 
-// finish reports the attempt's end, once.
-func (a *attempt) finish(how refmodel.AttemptOutcome) {
+// finish reports the end of the attempt to the checker, once.
+func (a *attempt) finish(outcome refmodel.AttemptOutcome) {
 	a.sim.record(func(c *refmodel.Checker, now time.Duration) {
 		if a.id != "" && !a.finished {
 			a.finished = true
-			c.AttemptEnded(now, a.id, how)
+			c.AttemptEnded(now, a.id, outcome)
 		}
 	})
 }
@@ -52,46 +52,46 @@
 	switch {
 	case !s.faults.isFullFleet() && s.chance(0.06):
 		return nil, errRefused
-	case s.faults == hangingConnects && s.chance(0.05): // nothing comes back
-		late := time.NewTimer(time.Until(deadline))
-		defer late.Stop()
+	case s.faults == hangingConnects && s.chance(0.05): // the connect hangs until the deadline
+		timer := time.NewTimer(time.Until(deadline))
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
-		case <-late.C:
+		case <-timer.C:
 		}
 		return nil, context.DeadlineExceeded
 	case s.faults == lateConnects && s.chance(0.4):
-		up := s.randomDuration(connectTimeout - ms)
-		late := time.NewTimer(min(up, time.Until(deadline)))
-		defer late.Stop()
+		connectDelay := s.randomDuration(connectTimeout - ms)
+		timer := time.NewTimer(min(connectDelay, time.Until(deadline)))
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-late.C:
+		case <-timer.C:
 		}
 		if !time.Now().Before(deadline) {
 			return nil, context.DeadlineExceeded
 		}
 	}
 	server, _, _ := strings.Cut(addr, ":")
-	near, far := net.Pipe()
-	a := &attempt{Conn: near, sim: s}
-	s.background.Go(func() { s.serveConn(server, far, a) })
+	nodeConn, serverConn := net.Pipe()
+	a := &attempt{Conn: nodeConn, sim: s}
+	s.background.Go(func() { s.serveConn(server, serverConn, a) })
 	return &sharedConn{Conn: a}, nil
 }
 
-// serveConn is the server's side of one connection.
+// serveConn serves the server's end of one connection.
 func (s *simulation) serveConn(server string, conn net.Conn, a *attempt) {
 	defer conn.Close()
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		text := lines.Text()
-		switch word, rest, _ := strings.Cut(text, " "); word {
+		switch command, args, _ := strings.Cut(text, " "); command {
 		case "STATS":
 			if !s.answerLoadProbe(server, conn) {
 				return
 			}
 		case "OPEN":
-			id, _, _ := strings.Cut(rest, " ")
+			id, _, _ := strings.Cut(args, " ")
 			s.record(func(c *refmodel.Checker, now time.Duration) {
 				a.id = id
 				s.attemptsRead++
@@ -106,7 +106,8 @@
 	}
 }
 
-// answerLoadProbe answers a probe, now and then late, never, or with an impossible load.
+// answerLoadProbe answers a load probe: at random late, never, or with an impossible load. It returns false
+// if the connection must be closed.
 func (s *simulation) answerLoadProbe(server string, conn net.Conn) bool {
 	s.mu.Lock()
 	conns := len(s.servers[server].conns)
@@ -125,11 +126,11 @@
 	return err == nil
 }
 
-// answerOpen answers a first line and serves the connection. It is false if the connection ended.
+// answerOpen answers a connection's OPEN line. It returns false if the connection must be closed.
 func (s *simulation) answerOpen(server string, conn net.Conn, a *attempt) bool {
 	time.Sleep(s.randomDuration(60 * ms))
 	switch {
-	case s.faults.isFullFleet(): // it accepts everything, so that it can be overloaded
+	case s.faults.isFullFleet(): // its servers accept all requests, so that they can be overloaded
 	case s.chance(0.12):
 		a.finish(refmodel.NotRun)
 		fmt.Fprintf(conn, "BUSY\r\n")
@@ -151,8 +152,8 @@
 	s.mu.Lock()
 	s.servers[server].conns[conn] = true
 	s.mu.Unlock()
-	lifetime := ms + s.randomDuration(2*meanConnLifetime) // its client has noted the answer by then
-	s.background.Go(func() {                              // its end, unless the other side's comes before
+	lifetime := ms + s.randomDuration(2*meanConnLifetime) // its client has recorded the answer by then
+	s.background.Go(func() {                              // ends it, unless the other side does so before
 		time.Sleep(lifetime)
 		if s.chance(0.5) {
 			_ = conn.SetWriteDeadline(time.Now().Add(ms))
--- a/internal/refmodel/simulation_test.go
+++ b/internal/refmodel/simulation_test.go
@@ -17,21 +17,21 @@
 
 const ms = time.Millisecond
 
-// The capacity of a server is how many connections fill it. Together with the mean lifetime of a
-// connection it says how fast a server can take new ones.
+// The capacity of a server is the number of connections at which it is full. Divided by the mean lifetime
+// of a connection, it is the rate at which a server can accept new ones.
 const (
 	serverCapacity      = 40
 	smallServerCapacity = 12
 	meanConnLifetime    = 3 * time.Second
 )
 
-// connectTimeout is how long a connection to a server may take.
+// connectTimeout limits the time of a connect to a server.
 const connectTimeout = 250 * ms
 
-// simulation runs one node, from its listener to its attempts, between clients, servers and a
-// discovery that have faults most of the time. Connections are pipes and the time is that of a
-// synctest bubble, so that simultaneous events have the same time. The checker is fed from
-// outside: by what clients and servers see.
+// simulation runs one node, from its listener to its attempts, between clients, servers and a discovery
+// that have faults most of the time. Connections are pipes, and the clock is that of a synctest bubble, so
+// that simultaneous events have exactly the same time. The checker sees only what clients and servers
+// observe.
 type simulation struct {
 	t         *testing.T
 	startedAt time.Time
@@ -39,33 +39,33 @@
 	config    simulationConfig
 
 	settings        balance.Settings
-	process         *process          // the one that new clients come to
+	process         *process          // the one that accepts new clients
 	clientConns     chan net.Conn     // to the node's listener
-	metrics         *metrics.Registry // the node's own
-	operatorLock    sync.Mutex        // one operator at a time
-	endingProcesses sync.WaitGroup    // those that were replaced
+	metrics         *metrics.Registry // the node's own metrics
+	operatorLock    sync.Mutex        // held during an operator's drain
+	endingProcesses sync.WaitGroup    // the processes that were replaced
 	hasTwoProcesses atomic.Bool       // a replaced process still runs
 	clients         sync.WaitGroup
 	background      sync.WaitGroup
-	hasColdServer   bool // of a full fleet
+	hasColdServer   bool // a server of the full fleet was restarted cold
 
 	mu             sync.Mutex
-	processes      []*process           // those that are notified of servers
+	processes      []*process           // the running processes, which are notified of servers
 	openSince      map[string]time.Time // by request: since when its connection is established
 	rng            *rand.Rand
 	checker        *refmodel.Checker
 	servers        map[string]*simServer
-	discovery      simDiscovery // where the node polls it
+	discovery      simDiscovery // used only if the node polls it
 	lastID         int
 	attemptsRead   int            // attempts that servers have read in full
 	answers        map[string]int // by kind of answer
 	answersByClass map[string]int // by class and kind of answer
 }
 
-func newSimulation(t *testing.T, seed uint64, k faultKind) *simulation {
-	config := configOf(k)
+func newSimulation(t *testing.T, seed uint64, kind faultKind) *simulation {
+	config := configOf(kind)
 	s := &simulation{
-		t: t, startedAt: time.Now(), faults: k, config: config,
+		t: t, startedAt: time.Now(), faults: kind, config: config,
 		settings:    simulationSettings(),
 		clientConns: make(chan net.Conn),
 		metrics:     &metrics.Registry{},
@@ -89,31 +89,31 @@
 	return s
 }
 
-// chance and randomDuration draw under the lock: two runs of a seed differ only in the order of
-// their draws.
+// chance returns true with probability p. Like randomDuration it draws from rng with mu held, so that
+// two runs with the same seed differ only in the order of their draws.
 func (s *simulation) chance(p float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64() < p
 }
 
-// randomDuration draws whole milliseconds, so that many events are simultaneous.
+// randomDuration returns a random number of whole milliseconds, so that many events are simultaneous.
 func (s *simulation) randomDuration(longest time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.rng.Int64N(int64(longest)/int64(ms)+1)) * ms
 }
 
-// record has f report an event to the checker.
-func (s *simulation) record(f func(c *refmodel.Checker, now time.Duration)) {
+// record calls report with mu held, to report an event to the checker.
+func (s *simulation) record(report func(c *refmodel.Checker, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.checker, time.Since(s.startedAt))
+	report(s.checker, time.Since(s.startedAt))
 }
 
 // runSimulation runs a simulation to its end and returns it.
-func runSimulation(t *testing.T, seed uint64, k faultKind) *simulation {
-	s := newSimulation(t, seed, k)
+func runSimulation(t *testing.T, seed uint64, kind faultKind) *simulation {
+	s := newSimulation(t, seed, kind)
 	var list []discovery.Endpoint
 	for i := range s.config.servers {
 		list = append(list, s.servers[fmt.Sprint("s", i)].endpoint)
@@ -123,11 +123,11 @@
 	for time.Since(s.startedAt) < s.config.duration {
 		time.Sleep(s.randomDuration(s.config.longestStep))
 		if !s.injectFault() {
-			s.stepFlapping()
+			s.startClientOrChangeServer()
 		}
 		s.record((*refmodel.Checker).CheckDeadlines)
 	}
-	time.Sleep(3 * time.Second) // every answer is due by then
+	time.Sleep(3 * time.Second) // all answers are due by then
 	s.record((*refmodel.Checker).CheckDeadlines)
 	for _, id := range s.checker.Unanswered() {
 		t.Errorf("%s was never answered", id)
@@ -139,26 +139,26 @@
 	return s
 }
 
-// injectFault draws whether the next event is one that only this kind of simulation has.
+// injectFault injects, at random, a fault that only this kind of simulation has. It returns whether it did.
 func (s *simulation) injectFault() bool {
-	switch k := s.faults; {
-	case k.isFullFleet() && !s.hasColdServer && time.Since(s.startedAt) > s.config.duration/3:
+	switch kind := s.faults; {
+	case kind.isFullFleet() && !s.hasColdServer && time.Since(s.startedAt) > s.config.duration/3:
 		s.hasColdServer = true
 		s.restartServer("s0")
-	case k == operatorDrains && s.chance(0.02):
+	case kind == operatorDrains && s.chance(0.02):
 		s.clients.Go(s.drainAndRejoin)
-	case k == settingsChanges && s.chance(0.03):
+	case kind == settingsChanges && s.chance(0.03):
 		s.changeSettings()
-	case k == silentWatches && s.chance(0.05):
+	case kind == silentWatches && s.chance(0.05):
 		if s.discovery.silenceWatches() {
-			s.drainReadyServer() // the first change that no watch notifies the node of
+			s.drainReadyServer() // the first change that no watch sends to the node
 		}
-	case k == starvedLists && s.chance(0.02):
+	case kind == starvedLists && s.chance(0.02):
 		s.discovery.starve(6*time.Second + s.randomDuration(12*time.Second))
-	case k == hotRestarts && s.chance(0.02):
-		s.endingProcesses.Wait() // two processes at most
+	case kind == hotRestarts && s.chance(0.02):
+		s.endingProcesses.Wait() // at most two processes at a time
 		s.replaceProcess()
-	case k == overlappingProcesses && s.chance(0.05) && !s.hasTwoProcesses.Load():
+	case kind == overlappingProcesses && s.chance(0.05) && !s.hasTwoProcesses.Load():
 		s.replaceProcess()
 	default:
 		return false
@@ -166,12 +166,12 @@
 	return true
 }
 
-// stepFlapping starts a client, or changes a server where the fleet is not full.
-func (s *simulation) stepFlapping() {
-	if !s.faults.isFullFleet() && !s.chance(s.config.calmShare) {
+// startClientOrChangeServer starts a client or, at random and unless the fleet is full, changes a server.
+func (s *simulation) startClientOrChangeServer() {
+	if !s.faults.isFullFleet() && !s.chance(s.config.clientShare) {
 		s.changeRandomServer()
 		return
 	}
-	leaves := s.chance(0.2)
-	s.clients.Go(func() { s.runClient(leaves) })
+	leavesEarly := s.chance(0.2)
+	s.clients.Go(func() { s.runClient(leavesEarly) })
 }
--- a/internal/refmodel/thundering_herd_test.go
+++ b/internal/refmodel/thundering_herd_test.go
@@ -12,19 +12,19 @@
 
 const (
 	herdNodes    = 300
-	herdLead     = 4 * time.Second // before the outage or the silence
+	herdWarmUp   = 4 * time.Second // from the start until watches end or fall silent
 	herdOutage   = 8 * time.Second
-	slowCallTime = 21500 * time.Microsecond // of the slow discovery, in the mean
+	slowCallTime = 21500 * time.Microsecond // mean service time of the slow discovery
 )
 
-// herdCase is a moment at which all nodes want the list.
+// herdCase is a moment at which all nodes request the list.
 type herdCase struct {
-	event          string // "starts", "silent", or how discovery is back
+	event          string // "starts", "silent", or how discovery is reachable again
 	slow           bool
 	skipsAbandoned bool
-	before         callBehavior  // discovery until the moment; answersList: watches fall silent at it
-	spent          time.Duration // of the notifyDeadline, before any node can know
-	lateShare      float64       // of the nodes that may be late, beyond those that discovery can't serve
+	before         callBehavior  // discovery until the moment; answersList: watches fall silent then
+	detectionDelay time.Duration // part of notifyDeadline before any node can notice the event
+	lateShare      float64       // share of nodes that may be late beyond those that can't be served
 }
 
 var herdCases = []herdCase{
@@ -38,19 +38,20 @@
 	{"silent", true, true, answersList, 2500 * ms, 0.02},
 }
 
-// Three hundred nodes want the list at the same moment: all start, or discovery is back, or all
-// watches have fallen silent. Quick, discovery serves all in 2 s and rejects a tenth; slow, it serves
-// them in 6.5 s and lets a call wait for 3 s, and a call whose client gave up takes service time or
-// not. As many nodes as it can serve by then have the list within 6 s, and their calls do not starve
-// each other.
+// Three hundred nodes request the list at the same moment: all start, or discovery is reachable again,
+// or all watches have fallen silent. A fast discovery serves all nodes in 2 s and rejects a tenth of the
+// calls. A slow one serves them in 6.5 s and lets a call wait for 3 s; calls whose clients gave up take
+// service time or not, by the case. As many nodes as discovery can serve within 6 s have the list by
+// then, and their calls do not starve each other.
 func TestThunderingHerdIsServedInTime(t *testing.T) {
-	// As in TestManySilentWatchesAreReplacedInTime.
+	// See TestManySilentWatchesAreReplacedInTime.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const seed = 0
 	for _, tt := range herdCases {
-		t.Run(fmt.Sprintf("%s, slow %v, free %v, seed %d", tt.event, tt.slow, tt.skipsAbandoned, seed), func(t *testing.T) {
-			begin := func() *fakeDiscovery { return tt.discovery(seed) }
-			runInBubble(t, begin, func(ctx context.Context, d *fakeDiscovery) { tt.run(ctx, t, d, seed) })
+		t.Run(fmt.Sprintf("%s, slow %v, skips abandoned %v, seed %d",
+			tt.event, tt.slow, tt.skipsAbandoned, seed), func(t *testing.T) {
+			newDiscovery := func() *fakeDiscovery { return tt.discovery(seed) }
+			runInBubble(t, newDiscovery, func(ctx context.Context, d *fakeDiscovery) { tt.run(ctx, t, d, seed) })
 		})
 	}
 }
@@ -58,7 +59,7 @@
 // discovery returns the discovery of the case, which starts now.
 func (tt herdCase) discovery(seed uint64) *fakeDiscovery {
 	rejections, times := rand.New(rand.NewPCG(seed, 3)), rand.New(rand.NewPCG(seed, 4))
-	failsAt := time.Now().Add(herdLead)
+	failsAt := time.Now().Add(herdWarmUp)
 	moment := failsAt
 	switch {
 	case tt.event == "starts":
@@ -95,14 +96,14 @@
 
 // run starts all nodes and checks when they have the list.
 func (tt herdCase) run(ctx context.Context, t *testing.T, d *fakeDiscovery, seed uint64) {
-	var all []*follower
+	var watchers []*listWatcher
 	for i := range uint64(herdNodes) {
 		node := fmt.Sprint("n", i)
-		all = append(all, d.startFollower(ctx, t, node, seed*herdNodes+i, pollSettings(herdNodes)))
+		watchers = append(watchers, d.startListWatcher(ctx, t, node, seed*herdNodes+i, pollSettings(herdNodes)))
 	}
 	moment := time.Now()
 	if tt.event != "starts" {
-		time.Sleep(herdLead)
+		time.Sleep(herdWarmUp)
 		moment = d.silenceWatches()
 	}
 	if tt.event != "starts" && tt.before != answersList {
@@ -112,26 +113,26 @@
 	time.Sleep(25 * time.Second)
 	var took []time.Duration
 	late, calls := 0, 0
-	for i, f := range all {
+	for i, w := range watchers {
 		calls += len(d.callsSince(fmt.Sprint("n", i), moment.Add(-1)))
-		listAfter := f.firstFullListAfter(moment.Add(-1)).Sub(moment)
+		listAfter := w.firstFullListAfter(moment.Add(-1)).Sub(moment)
 		took = append(took, listAfter)
 		if listAfter <= 0 || listAfter > notifyDeadline {
 			late++
 		}
 	}
-	t.Logf("the list is there after %v (half), %v (last); %d too late; %d calls",
+	t.Logf("the list arrived after %v (half), %v (last); %d too late; %d calls",
 		took[herdNodes/2], slices.Max(took), late, calls)
 	if allowed := tt.allowedLate(); late > allowed {
-		t.Errorf("%d nodes have their list too late, at most %d may", late, allowed)
+		t.Errorf("%d nodes have their list too late, want at most %d", late, allowed)
 	}
 }
 
-// allowedLate is how many nodes may have their list too late.
+// allowedLate returns how many nodes may have their list too late.
 func (tt herdCase) allowedLate() int {
 	allowed := int(tt.lateShare * herdNodes)
 	if tt.slow {
-		allowed += herdNodes - int((notifyDeadline-tt.spent)/slowCallTime)
+		allowed += herdNodes - int((notifyDeadline-tt.detectionDelay)/slowCallTime)
 	}
 	return allowed
 }
--- a/internal/refmodel/transcript_test.go
+++ b/internal/refmodel/transcript_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// transcript is what was sent and received on connections, as their two ends saw it.
+// transcript records which lines were sent and received on connections, as observed at both ends.
 type transcript struct {
 	mu           sync.Mutex
-	sentAt       map[string]time.Time // by lineKey: when its sender had written it
-	received     map[string]int       // by lineKey: how often it reached the other end
-	lastReceived map[string]int       // by connection and direction: the last line received
+	sentAt       map[string]time.Time // by lineKey: when the sender had written it
+	received     map[string]int       // by lineKey: how often the other end received it
+	lastReceived map[string]int       // by connection and direction: the number of the last line received
 	movedAt      map[string]time.Time // by connection: when it was sent MOVE
-	endedAt      map[string]time.Time // by connection: when it had ended
+	endedAt      map[string]time.Time // by connection: when it ended
 	violations   []string
 }
 
@@ -22,55 +22,55 @@
 		movedAt: map[string]time.Time{}, endedAt: map[string]time.Time{}}
 }
 
-// lineKey names a line by connection, direction and number.
-func lineKey(id, way string, n int) string { return fmt.Sprint(id, " ", way, " ", n) }
+// lineKey identifies a line by connection, direction and number.
+func lineKey(id, direction string, n int) string { return fmt.Sprint(id, " ", direction, " ", n) }
 
-func (k *transcript) recordSent(id, way string, n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.sentAt[lineKey(id, way, n)] = time.Now()
+func (t *transcript) recordSent(id, direction string, n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sentAt[lineKey(id, direction, n)] = time.Now()
 }
 
-func (k *transcript) recordReceived(id, way string, n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if n <= k.lastReceived[id+way] {
-		k.violations = append(k.violations, fmt.Sprintf("%s came after %d", lineKey(id, way, n), k.lastReceived[id+way]))
+func (t *transcript) recordReceived(id, direction string, n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if n <= t.lastReceived[id+direction] {
+		t.violations = append(t.violations, fmt.Sprintf("%s was received after %d", lineKey(id, direction, n), t.lastReceived[id+direction]))
 	}
-	k.lastReceived[id+way] = n
-	k.received[lineKey(id, way, n)]++
+	t.lastReceived[id+direction] = n
+	t.received[lineKey(id, direction, n)]++
 }
 
-func (k *transcript) recordTime(at map[string]time.Time, id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *transcript) recordTime(at map[string]time.Time, id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	at[id] = time.Now()
 }
 
-// findLosses returns the lines that were lost or came twice, and the connections that ended without
-// MOVE. A line that was written at the moment of the MOVE may have crossed it.
-func (k *transcript) findLosses(clients []string) []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	wrong := k.violations
+// findLosses describes the lines that were lost, duplicated or out of order, and the connections that
+// ended without MOVE. A line that was written at the moment of MOVE may have crossed it, and is ignored.
+func (t *transcript) findLosses(clients []string) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	losses := t.violations
 	for _, id := range clients {
-		moved, wasMoved := k.movedAt[id]
+		moved, wasMoved := t.movedAt[id]
 		if !wasMoved {
-			wrong = append(wrong, fmt.Sprintf("%s was closed without MOVE (ended: %v)", id, k.endedAt[id]))
+			losses = append(losses, fmt.Sprintf("%s was closed without MOVE (ended: %v)", id, t.endedAt[id]))
 			continue
 		}
-		for _, way := range []string{"up", "down"} {
+		for _, direction := range []string{"up", "down"} {
 			for n := 1; ; n++ {
-				at, wasSent := k.sentAt[lineKey(id, way, n)]
+				at, wasSent := t.sentAt[lineKey(id, direction, n)]
 				if !wasSent {
 					break
 				}
-				if received := k.received[lineKey(id, way, n)]; at.Before(moved) && received != 1 {
-					wrong = append(wrong, fmt.Sprintf("%s, sent %v before MOVE, was received %d times",
-						lineKey(id, way, n), moved.Sub(at), received))
+				if received := t.received[lineKey(id, direction, n)]; at.Before(moved) && received != 1 {
+					losses = append(losses, fmt.Sprintf("%s, sent %v before MOVE, was received %d times",
+						lineKey(id, direction, n), moved.Sub(at), received))
 				}
 			}
 		}
 	}
-	return wrong
+	return losses
 }
