--- a/internal/refmodel/simulation_config_test.go
+++ b/internal/refmodel/simulation_config_test.go
@@ -18,9 +18,9 @@
 	operatorDrains                        // flapping, and operators drain the node and let it rejoin
 	settingsChanges                       // flapping, and the settings change
 	hotRestarts                           // flapping, and hot restarts replace the node's process
-	silentWatches                         // flapping, and discovery is polled: watches fall silent and calls fail
+	silentWatches                         // flapping; polled discovery: watches fall silent, calls fail
 	overlappingProcesses                  // a full fleet, and two processes serve it most of the time
-	starvedLists                          // flapping, and discovery is polled: no list or change for many seconds
+	starvedLists                          // flapping; polled discovery: no list or change for many seconds
 )
 
 // isPolled reports whether the node polls discovery.
--- a/internal/refmodel/simulation_discovery_test.go
+++ b/internal/refmodel/simulation_discovery_test.go
@@ -26,7 +26,7 @@
 	fullLists          int                      // number of full lists sent
 	starvedUntil       time.Time                // no call gets a list before this time
 	starvations        int                      // number of periods without lists
-	rejectsImmediately bool                     // until starvedUntil all calls are rejected at once, as by a full queue
+	rejectsImmediately bool                     // until starvedUntil calls are rejected, as by a full queue
 	isDown             bool                     // until starvedUntil connects are refused
 }
 
