--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A timer that came a fraction of a microsecond before its time was taken for a stale one, and
-// its request was never answered.
+// Regression test: a timer that fired a fraction of a microsecond early was taken for a stale one, and its
+// request was never answered.
 func TestQueuedRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	for seed := range 200 {
 		d := newDriver(t, testSettings())
@@ -17,32 +17,32 @@
 		}
 		d.balancer = b
 		d.sendRequest("r")
-		for i := range d.timers { // as a clock that counts in microseconds has it
+		for i := range d.timers { // like a clock with a resolution of one microsecond
 			d.timers[i].at = d.timers[i].at.Truncate(time.Microsecond)
 		}
 		if got := actionsOf[Reject](d.runUntil(3 * time.Second)); len(got) != 1 {
-			t.Fatalf("seed %d: rejected %d times with no server known, want once", seed, len(got))
+			t.Fatalf("seed %d: rejected %d times without any server, want once", seed, len(got))
 		}
 	}
 }
 
-// Probe results that kept coming carried a request past the time for its answer, and it was
-// sent too late to be answered at all.
+// Regression test: probe results that kept arriving extended the draws of a request beyond its answer
+// deadline, and the request was sent too late to be answered in time.
 func TestProbeResultsDoNotExtendDeadline(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b", "c")
 	probes := actionsOf[Probe](d.sendRequest("r"))
 	if len(probes) != 1 {
 		t.Fatalf("%d probes, want 1", len(probes))
 	}
-	d.now += 2*time.Second - ms // past the answer deadline, its timer still to come
+	d.now += 2*time.Second - ms // past the answer deadline; the request's timer has not fired yet
 	got := d.answerProbe(probes[0].Server, 0.1)
 	if len(actionsOf[Reject](got)) != 1 || len(actionsOf[Attempt](got)) != 0 {
 		t.Errorf("got %v, want one rejection", got)
 	}
 }
 
-// A server drops the connections it has just taken: the report that sent them there was old.
-// Placements must then keep a distance, whatever reports say.
+// If a server resets a connection shortly after it has accepted it, the load report that led to the placement
+// was out of date. Placements must then be spaced, whatever the reports say.
 func TestEarlyResetPausesAdmission(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	loads := equalLoads(0.1, "a", "b")
@@ -51,16 +51,16 @@
 	d.now += 100 * ms
 	d.endConnection("r1", server, Reset)
 	if probes, server := d.placeRequest("r2", loads); probes != 0 || server != "" {
-		t.Errorf("placed on %q after %d probes at once, want a pause", server, probes)
+		t.Errorf("placed on %q after %d probes without a pause, want admission to be paused", server, probes)
 	}
 	if got := actionsOf[Probe](d.runFor(minBackoff * 2)); len(got) != 1 {
 		t.Errorf("%d probes after the pause, want 1", len(got))
 	}
 }
 
-// In a long congestion the newest go first. A request that is not admitted within its latency
-// objective is answered then, with a Retry-After; it was kept until its client was about to
-// give up.
+// Under lasting congestion the newest requests are admitted first. A request that is not admitted within its
+// latency objective must be answered then, with a Retry-After. It was once held until shortly before its
+// client gave up.
 func TestQueuedRequestIsAnsweredWithinLatencyObjective(t *testing.T) {
 	d := newDriver(t, testSettings(), "a")
 	d.balancer.reduceWindow()
@@ -69,18 +69,21 @@
 	d.sendRequest("r")
 	for d.now < sentAt+2*time.Second {
 		if got := actionsOf[Reject](d.runFor(ms)); len(got) == 1 {
-			if took := d.now - sentAt; took > 410*ms || got[0].RetryAfter == 0 {
+			if elapsed := d.now - sentAt; elapsed > 410*ms || got[0].RetryAfter == 0 {
 				t.Errorf("answered after %v with a Retry-After of %v, want 400 ms and a Retry-After",
-					took, got[0].RetryAfter)
+					elapsed, got[0].RetryAfter)
 			}
 			return
 		}
 	}
-	t.Error("not answered")
+	t.Error("request was not answered before its deadline")
 }
 
-func TestRejectsWithoutAnyServer(t *testing.T) {
-	for name, sendRetryAfter := range map[string]bool{"with Retry-After": true, "without Retry-After": false} {
+func TestRequestIsRejectedWithoutServers(t *testing.T) {
+	for name, sendRetryAfter := range map[string]bool{
+		"with Retry-After":    true,
+		"without Retry-After": false,
+	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.Limits.SendRetryAfter = sendRetryAfter
@@ -88,14 +91,14 @@
 			d.sendRequest("r")
 			got := actionsOf[Reject](d.runFor(2 * time.Second))
 			if len(got) != 1 || (got[0].RetryAfter > 0) != sendRetryAfter {
-				t.Errorf("%v, want one rejection", got)
+				t.Errorf("got %v, want one rejection, with a Retry-After only if that is enabled", got)
 			}
 		})
 	}
 }
 
-// In order of arrival every request in a queue was admitted when its time was almost up, and
-// all set-ups were in vain.
+// Regression test: in order of arrival, under lasting congestion, every request was admitted shortly before
+// its deadline, and no set-up completed in time.
 func TestQueueIsLastInFirstOut(t *testing.T) {
 	d := newDriver(t, testSettings(), "a")
 	d.balancer.admission.window = 1
@@ -109,12 +112,12 @@
 		}
 	}
 	if got := actionsOf[Attempt](d.answerProbe("a", 0.1)); len(got) != 1 || got[0].ID != "new" {
-		t.Errorf("got %v, want new placed first", got)
+		t.Errorf("got %v, want the newer request placed first", got)
 	}
 }
 
-// The queue is served newest first: in a long congestion what had ended stayed at its bottom
-// for good.
+// Regression test: the queue is served newest first, so under lasting congestion requests that had ended
+// stayed at its bottom indefinitely.
 func TestQueueDropsEndedRequests(t *testing.T) {
 	d := newDriver(t, testSettings(), "a")
 	d.balancer.reduceWindow()
@@ -123,6 +126,6 @@
 	}
 	d.handle(ClientGone{ID: "r0"})
 	if length := len(d.balancer.admission.queue); length != 2 {
-		t.Errorf("%d in the queue, want the 2 that wait", length)
+		t.Errorf("%d requests in the queue, want the 2 that have not ended", length)
 	}
 }
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// A wave scattered the members of a group over the fleet, and each new server of the group paid
-// for it: a member goes to where this instance holds the group.
+// Regression test: a reconnect wave spread the members of a group over the fleet, and each additional server
+// bore the cost of the whole group. A member must go to the server on which this instance already holds the
+// group.
 func TestGroupMemberFollowsLastPlacement(t *testing.T) {
 	settings := testSettings()
 	settings.Connections.GroupAffinity = true
 	d := newDriver(t, settings, "a", "b", "c", "d", "e", "f")
 	d.handle(OpenConnection{Request: Request{ID: "o", Class: "c", Group: "g"}, Server: "d"})
 	for i, tt := range []struct {
-		load    float64 // of the server that holds the group
+		load    float64 // load of the server that holds the group
 		follows bool
 	}{{0.2, true}, {0.9, false}} {
 		request := Request{ID: fmt.Sprint("r", i), Class: "c", Group: "g", Deadline: d.now + 2*time.Second}
-		actions := d.answerProbesBy(d.handle(request), func(server string) float64 {
+		actions := d.answerProbesFunc(d.handle(request), func(server string) float64 {
 			if server == "d" {
 				return tt.load
 			}
@@ -29,13 +30,14 @@
 		})
 		attempts := actionsOf[Attempt](actions)
 		if len(attempts) != 1 || (attempts[0].Server == "d") != tt.follows {
-			t.Errorf("the group's server at %.1f: %v", tt.load, attempts)
+			t.Errorf("load of the group's server %.1f: unexpected attempts %v", tt.load, attempts)
 		}
 	}
 }
 
-// Many instances see a few members of a group each. Where the group's first server is above the
-// mean, or full, their members scattered over the fleet, and each new server paid for the group.
+// With many instances, each sees only a few members of a group. Regression test: when the group's first
+// server was above the mean load or full, the instances spread the members over the fleet, and each
+// additional server bore the cost of the whole group.
 func TestInstancesAgreeOnGroupServers(t *testing.T) {
 	settings := testSettings()
 	settings.Connections.GroupAffinity, settings.Instances = true, 40
@@ -43,64 +45,68 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("s", i)
 	}
-	var taken []string
+	var groupServers []string
 	for _, tt := range []struct {
-		name      string
-		load      float64 // of all others
-		takenLoad float64 // of the servers that were taken before
+		name            string
+		load            float64 // load of all other servers
+		groupServerLoad float64 // load of the servers that earlier cases placed members on
 	}{
-		{"an easy fleet", 0.3, 0},
-		{"a server above the mean", 0.3, 0.65},
-		{"one server is full", 0.6, 0.9},
-		{"two are", 0.6, 0.9},
+		{"low load everywhere", 0.3, 0},
+		{"group server above the mean", 0.3, 0.65},
+		{"one group server full", 0.6, 0.9},
+		{"two group servers full", 0.6, 0.9},
 	} {
 		loads := equalLoads(tt.load, ids...)
-		for _, id := range taken {
-			loads[id] = tt.takenLoad
+		for _, id := range groupServers {
+			loads[id] = tt.groupServerLoad
 		}
 		members := map[string]int{}
 		for i := range settings.Instances {
 			d := newDriver(t, settings, ids...)
 			d.balancer.rng = rand.New(rand.NewPCG(uint64(i), 7))
 			request := Request{ID: "r", Class: "c", Group: "g", Deadline: d.now + 2*time.Second}
-			actions := d.answerProbesBy(d.handle(request), func(server string) float64 { return loads[server] })
+			actions := d.answerProbesFunc(d.handle(request), func(server string) float64 {
+				return loads[server]
+			})
 			for _, attempt := range actionsOf[Attempt](actions) {
 				members[attempt.Server]++
 			}
 		}
 		for id, n := range members {
 			if n < settings.Instances {
-				t.Errorf("%s: %s has %d of %d members: %v", tt.name, id, n, settings.Instances, members)
+				t.Errorf("%s: %s received %d of %d members, want all: %v",
+					tt.name, id, n, settings.Instances, members)
 				break
 			}
-			if !slices.Contains(taken, id) {
-				taken = append(taken, id)
+			if !slices.Contains(groupServers, id) {
+				groupServers = append(groupServers, id)
 			}
 		}
 	}
-	if len(taken) != 3 {
-		t.Errorf("the group's servers are %v, want three in all", taken)
+	if len(groupServers) != 3 {
+		t.Errorf("the group was placed on servers %v, want three in total", groupServers)
 	}
 }
 
-// A group's servers are those that its route and the fleet allow, and it gathers there.
+// The candidate servers for a group are those that the request's constraint and the zone quotas permit, and
+// nearly all members are placed on one of them.
 func TestAffinityServersRespectConstraints(t *testing.T) {
 	settings := testSettings()
 	settings.Connections.GroupAffinity = true
 	d := newDriver(t, settings)
-	var list []ServerEntry
+	var entries []ServerEntry
 	for i := range 120 {
-		list = append(list, ServerEntry{ID: fmt.Sprint("s", i), Zone: fmt.Sprint(i % 12)})
+		entries = append(entries, ServerEntry{ID: fmt.Sprint("s", i), Zone: fmt.Sprint(i % 12)})
 	}
-	d.updateList(ListFull, list...)
+	d.updateList(ListFull, entries...)
 	d.leaseQuota(QuotaLease{Zones: []ZoneQuota{{"3", 0, -1}}})
 	got := d.placeMany(Request{Group: "g", Constraint: onlyZones("3", "7")}, 50)
 	for server := range got {
 		if s := d.balancer.servers.byID[server]; s == nil || s.Zone != "7" {
-			t.Errorf("%q took members", server)
+			t.Errorf("%q received members outside the permitted zone", server)
 		}
 	}
 	if most := slices.Max(slices.Collect(maps.Values(got))); most < 40 {
-		t.Errorf("%v, want nearly all in one place", got)
+		t.Errorf("members by server %v, want at least 40 on one server", got)
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// BenchmarkPlace takes a connection from its arrival to its end. Its cost must not grow with the
-// fleet.
-func BenchmarkPlace(bm *testing.B) {
+// BenchmarkPlace measures the handling of one connection from its request to its end. The cost must not grow
+// with the number of servers.
+func BenchmarkPlace(b *testing.B) {
 	for _, servers := range []int{20, 2000} {
-		bm.Run(fmt.Sprint(servers, "servers"), func(bm *testing.B) {
-			b, err := New(1, testSettings())
+		b.Run(fmt.Sprint(servers, "servers"), func(b *testing.B) {
+			balancer, err := New(1, testSettings())
 			if err != nil {
-				bm.Fatal(err)
+				b.Fatal(err)
 			}
 			var ids []string
 			for i := range servers {
 				ids = append(ids, fmt.Sprint("s", i))
 			}
 			now, report := time.Second, loadReport(0.1, -1)
-			actions := b.Handle(0, ListUpdate{Kind: ListFull, Entries: readyEntries(ids...)}, nil)
-			handle := func(event Event) { actions = b.Handle(now, event, actions[:0]) }
-			bm.ReportAllocs()
-			for bm.Loop() {
+			actions := balancer.Handle(0, ListUpdate{Kind: ListFull, Entries: readyEntries(ids...)}, nil)
+			handle := func(event Event) { actions = balancer.Handle(now, event, actions[:0]) }
+			b.ReportAllocs()
+			for b.Loop() {
 				now += 10 * ms
 				placed := ""
 				handle(Request{ID: "r", Class: "c", Deadline: now + time.Second})
@@ -35,7 +35,8 @@
 					}
 				}
 				handle(ConnectionEstablished{ID: "r", Server: placed})
-				handle(AttemptEnded{ID: "r", Server: placed, Outcome: OK, Final: true, LoadReport: EmptyLoadReport})
+				handle(AttemptEnded{
+					ID: "r", Server: placed, Outcome: OK, Final: true, LoadReport: EmptyLoadReport})
 			}
 		})
 	}
--- a/balance/cancellation_test.go
+++ b/balance/cancellation_test.go
@@ -6,11 +6,15 @@
 	"time"
 )
 
-// A request whose client has left gives back what it held in each phase: its place in the queue,
-// its place in the window, and its load at the server that it was sent to. A burst of them once
-// made their servers look full for a second.
+// A request whose client disconnects must release, in each phase, its place in the queue, its place in the
+// window, and the load counted for it at its server. A burst of such requests once made their servers look
+// full for a second.
 func TestCanceledRequestReleasesItsState(t *testing.T) {
-	for phase, name := range map[requestPhase]string{queued: "queued", drawing: "drawing", attempting: "attempting"} {
+	for phase, name := range map[requestPhase]string{
+		queued:     "queued",
+		drawing:    "drawing",
+		attempting: "attempting",
+	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDriver(t, testSettings(), "a", "b", "c")
 			loads := equalLoads(0.1, "a", "b", "c")
@@ -30,32 +34,37 @@
 					d.placeRequest(id, loads)
 				}
 				if r := requests.byID[id]; r.phase != phase {
-					t.Fatalf("%s is in phase %d", id, r.phase)
+					t.Fatalf("request %s is in phase %d", id, r.phase)
 				}
 				d.handle(ClientGone{ID: id})
 			}
 			if admission.inSetup != before || len(admission.queue) > 0 {
-				t.Errorf("%d in set-up, %d queued", admission.inSetup, len(admission.queue))
+				t.Errorf("after cancellation: %d requests in set-up, %d queued",
+					admission.inSetup, len(admission.queue))
 			}
 			if len(requests.byID) != 1 || requests.openConnections != 1 {
-				t.Errorf("%d requests, %d open connections", len(requests.byID), requests.openConnections)
+				t.Errorf("%d requests and %d open connections remain, want 1 of each",
+					len(requests.byID), requests.openConnections)
 			}
 			for id, s := range d.balancer.servers.byID {
 				if load := s.placedLoad.value(d.now); load > s.loadPerConnection+1e-9 {
-					t.Errorf("canceled requests count as load %.3f at %s", load, id)
+					t.Errorf("canceled requests still count as a load of %.3f on %s", load, id)
 				}
 				if len(s.waitingRequests) > 0 {
-					t.Errorf("%d wait for the probe of %s", len(s.waitingRequests), id)
+					t.Errorf("%d requests still wait for the probe of %s", len(s.waitingRequests), id)
 				}
 			}
 		})
 	}
 }
 
-// A retry of what may have run is out no longer than its key window: in a dial that takes long
-// it would be sent when no server drops it any more.
+// The retry of a keyed request that may have run must time out when its key window ends. If a slow dial sent
+// it later, no server would drop it as a repeat any more.
 func TestRetryTimeoutEndsWithKeyWindow(t *testing.T) {
-	for idempotency, name := range map[Idempotency]string{Idempotent: "idempotent", IdempotencyKeyed: "keyed"} {
+	for idempotency, name := range map[Idempotency]string{
+		Idempotent:       "idempotent",
+		IdempotencyKeyed: "keyed",
+	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.Classes[0].Idempotency, settings.Classes[0].KeyWindow = idempotency, 300*ms
@@ -66,7 +75,7 @@
 			actions := d.answerProbes(d.endAttempt(0, server, Errored), 0.1)
 			attempts := actionsOf[Attempt](actions)
 			if len(attempts) != 1 {
-				t.Fatalf("%v, want one attempt", actions)
+				t.Fatalf("got %v, want one attempt", actions)
 			}
 			want := time.Duration(0)
 			if idempotency == IdempotencyKeyed {
--- a/balance/draw_test.go
+++ b/balance/draw_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestLowDrawDecidesAtOnce(t *testing.T) {
+func TestLowLevelDrawIsFinal(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b", "c")
 	probes, server := d.placeRequest("r", equalLoads(0.1, "a", "b", "c"))
 	if probes != 1 || server == "" {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Where every server had a few faults most draws were void, a fifth of the rounds ended with
-// none, and that counted as congestion: placements paused although all could serve.
+// Regression test: when every server had a few faults, most draws were void, and a fifth of the rounds ended
+// without a valid draw. That counted as congestion, so placements paused although all servers could serve.
 func TestMostlyFaultyFleetStillServes(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b", "c", "d")
 	for _, s := range d.balancer.servers.ready {
@@ -41,16 +41,17 @@
 	}
 	d.runFor(time.Second)
 	for i := range 100 {
-		if _, server := d.placeRequest(fmt.Sprint("r", i), equalLoads(0.1, "a", "b", "c", "d")); server == "" {
-			t.Fatalf("request %d is held", i)
+		if _, server := d.placeRequest(
+			fmt.Sprint("r", i), equalLoads(0.1, "a", "b", "c", "d")); server == "" {
+			t.Fatalf("request %d was not placed at once", i)
 		}
 	}
-	worst := d.balancer.servers.ready[0] // one that is worse than the rest is still left out
+	worst := d.balancer.servers.ready[0] // a server with many more faults than the rest is still excluded
 	for range 200 {
 		d.balancer.recordFault(worst)
 	}
 	if share := d.balancer.drawShare(&request{}, worst); share > 0.1 {
-		t.Errorf("the worst keeps %.2f of its draws", share)
+		t.Errorf("the server with the most faults keeps %.2f of its draws, want at most 0.1", share)
 	}
 }
 
@@ -60,8 +61,8 @@
 		want           int
 	}{
 		{0.6, 0.2, 0}, {0.6, 0.5, 1}, {0.6, 0.61, 2}, {0.6, 0.95, 3},
-		{0.05, 0.14, 0}, {0.05, 0.29, 1}, // an idle fleet: nothing to even out
-		{1.2, 0.69, 1}, {1.2, 0.71, 2}, // a full one: nearly full never passes as low
+		{0.05, 0.14, 0}, {0.05, 0.29, 1}, // an idle fleet: nothing to balance
+		{1.2, 0.69, 1}, {1.2, 0.71, 2}, // a full fleet: a nearly full server never counts as low
 	}
 	for _, tt := range tests {
 		b := &Balancer{fleet: fleetEstimate{meanLoad: tt.meanLoad}}
@@ -71,8 +72,8 @@
 	}
 }
 
-// x_0 = x_1 = 1: a low draw decides at once. x_l = d above: d draws, then the least loaded of
-// them.
+// The thresholds are x_0 = x_1 = 1, so a draw at level 0 or 1 is final, and x_l = d above, so at higher
+// levels the least loaded of d draws is chosen.
 func TestThresholds(t *testing.T) {
 	loads := map[string]float64{"a": 0.71, "b": 0.715, "c": 0.705}
 	d := newDriver(t, testSettings(), "a", "b", "c")
@@ -82,7 +83,7 @@
 			t.Fatalf("placed on %q after %d probes, want at most %d", server, probes, trials)
 		}
 		if probes == 3 && server != "c" {
-			t.Errorf("of three probed %s took it, want c, the least loaded", server)
+			t.Errorf("placed on %s after three probes, want c, the least loaded", server)
 		}
 	}
 }
@@ -99,66 +100,68 @@
 	for range servers * perServer {
 		counts[d.balancer.drawServer(r).ID]++
 	}
-	chi := 0.0
+	chiSquare := 0.0
 	for _, id := range ids {
-		chi += math.Pow(float64(counts[id]-perServer), 2) / perServer
+		chiSquare += math.Pow(float64(counts[id]-perServer), 2) / perServer
 	}
-	if chi > 43.8 { // 19 degrees of freedom, one in a thousand
-		t.Errorf("chi-square %.1f over %d servers: %v", chi, servers, counts)
+	if chiSquare > 43.8 { // 19 degrees of freedom, significance level 0.001
+		t.Errorf("chi-square %.1f over %d servers: %v", chiSquare, servers, counts)
 	}
 }
 
-// The least of d noisy readings is mostly luck: a full fleet would always seem to have capacity.
-func TestLuckyReadingDoesNotHideFullFleet(t *testing.T) {
+// The least of d noisy readings is low mostly by chance. Without a correction, a full fleet would always seem
+// to have capacity.
+func TestLowReadingDoesNotHideFullFleet(t *testing.T) {
 	d := newDriver(t, testSettings(), "a")
 	for range 40 {
 		d.answerProbe("a", 1)
 	}
 	b, s := d.balancer, d.balancer.servers.byID["a"]
-	s.reportedLoad = 0.72 // a lucky reading
+	s.reportedLoad = 0.72 // a reading that is low by chance
 	if got := b.estimatedLoad(s); got < fullLoad {
-		t.Errorf("load %.2f, want at least %.2f", got, fullLoad)
+		t.Errorf("estimated load %.2f, want at least %.2f", got, fullLoad)
 	}
-	s.reportedLoad = 0.1 // capacity beyond doubt
+	s.reportedLoad = 0.1 // too low for chance: the server has capacity
 	if got := b.estimatedLoad(s); got >= fullLoad {
-		t.Errorf("load %.2f, want under %.2f", got, fullLoad)
+		t.Errorf("estimated load %.2f, want less than %.2f", got, fullLoad)
 	}
 }
 
-// Avoided are the servers that drain and those that have failed more than the others of late.
+// Draining servers, and servers with more recent failures than the others, count as avoided.
 func TestAvoidedServers(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b", "c")
-	expect := func(n int, when string) {
+	expectAvoided := func(n int, when string) {
 		t.Helper()
 		if got := d.balancer.AvoidedServers(); got != n {
-			t.Errorf("%s: %d avoided, want %d", when, got, n)
+			t.Errorf("%s: %d servers avoided, want %d", when, got, n)
 		}
 	}
-	expect(0, "at first")
+	expectAvoided(0, "before any failure")
 	timedOut := ProbeResult{Server: "a", Outcome: TimedOut, LoadReport: EmptyLoadReport}
 	d.handle(timedOut)
-	expect(0, "after one failure")
+	expectAvoided(0, "after one failure")
 	d.handle(timedOut)
-	expect(1, "after two")
+	expectAvoided(1, "after two failures")
 	d.updateList(ListDelta, ServerEntry{ID: "b", State: Draining})
-	expect(2, "while another drains")
+	expectAvoided(2, "while another server drains")
 	d.updateList(ListDelta, ServerEntry{ID: "b", State: Gone})
-	expect(1, "when that is gone")
+	expectAvoided(1, "after the draining server is gone")
 	d.now += 30 * time.Second
 	d.handle(TimerFired{})
-	expect(0, "later")
+	expectAvoided(0, "later")
 }
 
-// Probes may all go unanswered while servers work: one of the drawn is tried.
+// Probes may go unanswered although servers work. If no probe is answered, an attempt is still made on one of
+// the drawn servers.
 func TestPlacesWhenAllProbesAreUnanswered(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.sendRequest("r")
 	if got := actionsOf[Attempt](d.runFor(time.Second)); len(got) != 1 {
-		t.Errorf("%v, want one attempt", got)
+		t.Errorf("got %v, want one attempt", got)
 	}
 }
 
-// Without probes the last reports decide, as they came with outcomes.
+// If probes are not allowed, the draws use the last load reports, which are received with outcomes.
 func TestLastReportsDecideWithoutProbes(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.ProbesAllowed = false
@@ -166,10 +169,10 @@
 	settings.Connections.GroupAffinity = true
 	d := newDriver(t, settings, "a", "b", "c")
 	d.handle(OpenConnection{Request: Request{ID: "o", Class: "c", Group: "g"}, Server: "a"})
-	for _, group := range []string{"", "g", "h"} { // a group's servers are not probed either
+	for _, group := range []string{"", "g", "h"} { // candidate servers for groups are not probed either
 		got := d.handle(Request{ID: "r" + group, Class: "c", Group: group, Deadline: d.now + 2*time.Second})
 		if len(actionsOf[Probe](got)) != 0 || len(actionsOf[Attempt](got)) != 1 {
-			t.Errorf("group %q: %v, want an attempt without a probe", group, got)
+			t.Errorf("group %q: got %v, want an attempt without a probe", group, got)
 		}
 	}
 }
--- a/balance/driver_test.go
+++ b/balance/driver_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings returns settings that tests change to their need.
+// testSettings returns valid settings with one class, "c". Tests adapt them as needed.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1,
@@ -28,12 +28,13 @@
 			OverloadMultiple: 3,
 			OverloadDuration: time.Second,
 		},
-		Limits:        Limits{ProbesAllowed: true, SendRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: time.Second},
+		Limits: Limits{
+			ProbesAllowed: true, SendRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: time.Second},
 		LoadReporting: LoadReporting{InProbeResults: true},
 	}
 }
 
-// driver drives one Balancer: it keeps the clock and the pending timers.
+// driver passes events to one Balancer. It keeps the simulated time and the pending timers.
 type driver struct {
 	t        *testing.T
 	balancer *Balancer
@@ -41,12 +42,13 @@
 	timers   []pendingTimer
 }
 
+// pendingTimer is a timer that has been requested and has not fired.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-// newDriver returns a driver whose instance knows the given servers, all ready and warm.
+// newDriver returns a driver whose Balancer has received a list of the given servers, all ready and warm.
 func newDriver(t *testing.T, settings Settings, servers ...string) *driver {
 	t.Helper()
 	b, err := New(1, settings)
@@ -58,36 +60,37 @@
 	return d
 }
 
+// readyEntries returns list entries of ready and warm servers.
 func readyEntries(ids ...string) []ServerEntry {
-	list := make([]ServerEntry, len(ids))
+	entries := make([]ServerEntry, len(ids))
 	for i, id := range ids {
-		list[i] = ServerEntry{ID: id}
+		entries[i] = ServerEntry{ID: id}
 	}
-	return list
+	return entries
 }
 
-// handle hands over an event and returns the actions except timers.
+// handle passes an event to the Balancer, keeps the timers that it requests and returns the other actions.
 func (d *driver) handle(event Event) []Action {
-	var rest []Action
+	var others []Action
 	for _, a := range d.balancer.Handle(d.now, event, nil) {
 		if t, ok := a.(SetTimer); ok {
 			d.timers = append(d.timers, pendingTimer{d.now + t.Delay, t.Token})
 		} else {
-			rest = append(rest, a)
+			others = append(others, a)
 		}
 	}
-	return rest
+	return others
 }
 
-func (d *driver) updateList(kind ListKind, list ...ServerEntry) []Action {
-	return d.handle(ListUpdate{Kind: kind, Entries: list})
+func (d *driver) updateList(kind ListKind, entries ...ServerEntry) []Action {
+	return d.handle(ListUpdate{Kind: kind, Entries: entries})
 }
 
 func (d *driver) sendRequest(id string) []Action {
 	return d.handle(Request{ID: id, Class: "c", Deadline: d.now + 2*time.Second})
 }
 
-// openConnections tells the instance of n connections that already stand at a server.
+// openConnections reports n connections to a server that were open before the Balancer started.
 func (d *driver) openConnections(n int, server string) {
 	for i := range n {
 		request := Request{ID: fmt.Sprint("o", i), Class: "c"}
@@ -95,18 +98,19 @@
 	}
 }
 
-// endAttempt ends an attempt of request r without an answer.
+// endAttempt reports that an attempt of the request "r" has ended without an answer.
 func (d *driver) endAttempt(attempt int, server string, outcome Outcome) []Action {
 	return d.handle(AttemptEnded{
 		ID: "r", Attempt: attempt, Server: server, Outcome: outcome, LoadReport: EmptyLoadReport})
 }
 
-// endConnection ends an established connection.
+// endConnection reports that an established connection has ended.
 func (d *driver) endConnection(id, server string, outcome Outcome) []Action {
-	return d.handle(AttemptEnded{ID: id, Server: server, Outcome: outcome, Final: true, LoadReport: EmptyLoadReport})
+	return d.handle(AttemptEnded{
+		ID: id, Server: server, Outcome: outcome, Final: true, LoadReport: EmptyLoadReport})
 }
 
-// answerProbe answers a probe with a load and nothing else.
+// answerProbe answers a probe with a load report that contains only a utilization.
 func (d *driver) answerProbe(server string, load float64) []Action {
 	return d.reportLoad(server, loadReport(load, -1))
 }
@@ -116,14 +120,14 @@
 	return d.handle(ProbeResult{Server: server, Outcome: OK, Latency: ms, LoadReport: report})
 }
 
-// answerProbes answers the probe among the actions, and those that follow, all with one load,
-// and returns the actions that follow the last.
+// answerProbes answers the first probe among the actions, and the probes that result from the answers, with
+// the same load. It returns the actions that result from the last answer.
 func (d *driver) answerProbes(actions []Action, load float64) []Action {
-	return d.answerProbesBy(actions, func(string) float64 { return load })
+	return d.answerProbesFunc(actions, func(string) float64 { return load })
 }
 
-// answerProbesBy is as answerProbes, with a load for each server.
-func (d *driver) answerProbesBy(actions []Action, loadOf func(server string) float64) []Action {
+// answerProbesFunc is like answerProbes, with the load that loadOf returns for the probed server.
+func (d *driver) answerProbesFunc(actions []Action, loadOf func(server string) float64) []Action {
 	for {
 		probes := actionsOf[Probe](actions)
 		if len(probes) == 0 {
@@ -133,46 +137,46 @@
 	}
 }
 
-// placeRequest lets a request draw with every probe answered by loads, and returns how many
-// probes it took and where the request went; "" if it was not placed.
-func (d *driver) placeRequest(id string, loads map[string]float64) (probes int, server string) {
+// placeRequest sends a request and answers its probes with the loads of the probed servers. It returns the
+// number of probes and the server of the first attempt, or "" if no attempt was made.
+func (d *driver) placeRequest(id string, loads map[string]float64) (probeCount int, server string) {
 	actions := d.sendRequest(id)
 	for {
 		if attempts := actionsOf[Attempt](actions); len(attempts) > 0 {
-			return probes, attempts[0].Server
+			return probeCount, attempts[0].Server
 		}
-		sent := actionsOf[Probe](actions)
-		if len(sent) == 0 {
-			return probes, ""
+		probes := actionsOf[Probe](actions)
+		if len(probes) == 0 {
+			return probeCount, ""
 		}
-		probes++
-		actions = d.answerProbe(sent[0].Server, loads[sent[0].Server])
+		probeCount++
+		actions = d.answerProbe(probes[0].Server, loads[probes[0].Server])
 	}
 }
 
-// runUntil lets time pass, firing timers in order, and returns the actions.
+// runUntil advances the time, fires the timers that become due in their order, and returns the actions.
 func (d *driver) runUntil(until time.Duration) []Action {
 	var all []Action
 	for {
-		first := -1
+		earliest := -1
 		for i, t := range d.timers {
-			if t.at <= until && (first < 0 || t.at < d.timers[first].at) {
-				first = i
+			if t.at <= until && (earliest < 0 || t.at < d.timers[earliest].at) {
+				earliest = i
 			}
 		}
-		if first < 0 {
+		if earliest < 0 {
 			d.now = until
 			return all
 		}
-		t := d.timers[first]
-		d.timers = append(d.timers[:first], d.timers[first+1:]...)
+		t := d.timers[earliest]
+		d.timers = append(d.timers[:earliest], d.timers[earliest+1:]...)
 		d.now = max(d.now, t.at)
 		all = append(all, d.handle(TimerFired{Token: t.token})...)
 	}
 }
 
-// runFor is runUntil for a span of time.
-func (d *driver) runFor(span time.Duration) []Action { return d.runUntil(d.now + span) }
+// runFor advances the time by a duration, like runUntil.
+func (d *driver) runFor(duration time.Duration) []Action { return d.runUntil(d.now + duration) }
 
 // actionsOf returns the actions of type T.
 func actionsOf[T Action](actions []Action) []T {
@@ -185,14 +189,15 @@
 	return found
 }
 
-// loadReport returns a report of a load and a number of connections; negative for no number.
+// loadReport returns a report of a utilization and a number of connections. A negative value means that the
+// field is not reported.
 func loadReport(load, inflight float64) LoadReport {
 	report := EmptyLoadReport
 	report.Utilization, report.Inflight = load, inflight
 	return report
 }
 
-// equalLoads returns the same load for each server.
+// equalLoads returns a map with the same load for each server.
 func equalLoads(load float64, servers ...string) map[string]float64 {
 	loads := make(map[string]float64, len(servers))
 	for _, s := range servers {
--- a/balance/event_queue_test.go
+++ b/balance/event_queue_test.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// scheduledEvent is something that happens at a time.
+// scheduledEvent is a function that runs at a given time of the simulation.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// eventQueue is a heap of what is to come, in the order of time and then of scheduling.
+// eventQueue is a heap of scheduled events, for use with container/heap. Events are ordered by their time,
+// and events of the same time by the order in which they were scheduled.
 type eventQueue struct {
 	events       []scheduledEvent
 	lastSequence int
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,7 @@
 	"coralrelay/balance"
 )
 
-// A program that links the package hands it every event and carries out the actions that it
-// returns.
+// The caller passes every event to the Balancer and carries out the actions that it returns.
 func Example() {
 	b, err := balance.New(1, balance.Settings{
 		Instances: 1,
--- a/balance/listlease_test.go
+++ b/balance/listlease_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// leaseFor tells the instance that its list may be relied on for a time.
-func (d *driver) leaseFor(length time.Duration) []Action {
-	return d.handle(ListLease{ExpiresAt: d.now + length})
+// leaseList grants a lease on the server list for the given duration from now.
+func (d *driver) leaseList(duration time.Duration) []Action {
+	return d.handle(ListLease{ExpiresAt: d.now + duration})
 }
 
-// rejections are the rejections among the actions, by request.
+// rejections returns the Reject actions by request.
 func rejections(actions []Action) map[string]Reject {
 	rejected := map[string]Reject{}
 	for _, reject := range actionsOf[Reject](actions) {
@@ -19,13 +19,13 @@
 	return rejected
 }
 
-// Once the list may not be relied on, a request is answered at once, with a time to come again, and no probe or attempt
-// is made for it; when it is confirmed again, requests are placed as ever.
+// After the lease on the list has expired, requests must be answered at once with a Retry-After, without a
+// probe or an attempt. After the lease has been renewed, requests are placed again.
 func TestExpiredListRejectsAtOnce(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
-	d.leaseFor(time.Second)
+	d.leaseList(time.Second)
 	if got := d.sendRequest("before"); len(actionsOf[Probe](got)) == 0 {
-		t.Fatalf("while the list may be relied on: %v", got)
+		t.Fatalf("before the lease expires: got %v, want a probe", got)
 	}
 	d.answerProbes(d.handle(ClientGone{ID: "before"}), 0.1)
 	d.runFor(time.Second)
@@ -33,22 +33,22 @@
 		got := d.sendRequest(id)
 		reject, ok := rejections(got)[id]
 		if !ok || reject.Reason != ListExpired || reject.RetryAfter <= 0 || len(got) != 1 {
-			t.Errorf("%s: got %v, want one rejection", id, got)
+			t.Errorf("%s: got %v, want only a rejection with a Retry-After", id, got)
 		}
 	}
-	d.leaseFor(time.Second)
+	d.leaseList(time.Second)
 	if got := d.sendRequest("after"); len(actionsOf[Probe](got)) == 0 {
-		t.Errorf("once the list is confirmed again: %v", got)
+		t.Errorf("after the lease was renewed: got %v, want a probe", got)
 	}
 }
 
-// A request that waits for a probe or for admission is answered when the lease ends, also when that is known only
-// afterwards; one that was sent keeps its attempt, and gets no further one.
-func TestRequestsAreAnsweredWhenTheListExpires(t *testing.T) {
-	for _, told := range []string{"before", "afterwards"} {
+// Requests that wait for a probe or for admission must be answered when the list lease expires, or when the
+// instance is notified of the expiry afterwards. An attempt in progress continues, but is not retried.
+func TestWaitingRequestsAreAnsweredOnListExpiry(t *testing.T) {
+	for _, notified := range []string{"before", "afterwards"} {
 		d := newDriver(t, testSettings(), "a", "b", "c")
-		if told == "before" {
-			d.leaseFor(ms)
+		if notified == "before" {
+			d.leaseList(ms)
 		}
 		d.sendRequest("drawing")
 		sent := d.sendRequest("sent")
@@ -56,52 +56,56 @@
 			sent = d.answerProbes(sent, 0.1)
 		}
 		d.sendRequest("queued")
-		var ended []Action
-		if told == "before" {
-			ended = d.runFor(ms)
+		var onExpiry []Action
+		if notified == "before" {
+			onExpiry = d.runFor(ms)
 		} else {
 			d.runFor(ms)
-			ended = d.handle(ListLease{ExpiresAt: d.now - ms})
+			onExpiry = d.handle(ListLease{ExpiresAt: d.now - ms})
 		}
-		rejected := rejections(ended)
+		rejected := rejections(onExpiry)
 		attempt := actionsOf[Attempt](sent)[0]
 		for _, id := range []string{"drawing", "sent", "queued"} {
 			if _, ok := rejected[id]; ok == (id == attempt.ID) {
-				t.Errorf("told %s: %s rejected %v", told, id, ok)
+				t.Errorf("notified %s: request %s rejected: %v", notified, id, ok)
 			}
 		}
-		got := d.handle(AttemptEnded{ID: attempt.ID, Server: attempt.Server, Outcome: AtCapacity, LoadReport: EmptyLoadReport})
-		if reject := rejections(got)[attempt.ID]; reject.Reason != ListExpired || len(actionsOf[Attempt](got)) > 0 {
-			t.Errorf("told %s: after its attempt: %v", told, got)
+		got := d.handle(AttemptEnded{
+			ID: attempt.ID, Server: attempt.Server, Outcome: AtCapacity, LoadReport: EmptyLoadReport})
+		if reject := rejections(got)[attempt.ID]; reject.Reason != ListExpired ||
+			len(actionsOf[Attempt](got)) > 0 {
+			t.Errorf("notified %s: got %v after the attempt, want a rejection", notified, got)
 		}
 	}
 }
 
-// Established connections go on, and none is migrated for load, as it would be rejected when it comes again.
-func TestExpiredListMigratesNobody(t *testing.T) {
+// After the list lease has expired, established connections stay open, and none is migrated because of load:
+// its client would be rejected when it reconnects.
+func TestExpiredListPreventsMigration(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.openConnections(40, "a")
-	d.leaseFor(ms)
+	d.leaseList(ms)
 	d.runFor(10 * ms)
 	for range 5 {
 		if got := actionsOf[Migrate](d.answerProbe("a", 2)); len(got) > 0 {
-			t.Fatalf("%d connections are migrated", len(got))
+			t.Fatalf("%d connections migrated after the lease expired, want none", len(got))
 		}
 		d.runFor(3 * time.Second)
 	}
-	d.leaseFor(time.Minute)
+	d.leaseList(time.Minute)
 	if got := actionsOf[Migrate](d.answerProbe("a", 2)); len(got) == 0 {
-		t.Error("none is migrated once the list is confirmed")
+		t.Error("no connection migrated after the lease was renewed")
 	}
 }
 
-// A list service that has no time is called again later than one that is down, by an instance of many; and if it lets
-// calls wait in vain, after the time that it needs for all instances, until there is a list.
-func TestBusyListServiceIsCalledLater(t *testing.T) {
+// With many instances, a list service that rejects calls because it is busy must be called again later than
+// one that is down. A list service that queues calls but does not serve them in time must be called again
+// after the time that it needs to serve all instances, until it has sent a list.
+func TestBackoffFromBusyListService(t *testing.T) {
 	tests := []struct {
 		instances       int
 		failure         ListFailure
-		least, greatest time.Duration // of the pause, from the fifth failure on
+		least, greatest time.Duration // of the backoff; least applies from the fifth failure on
 	}{
 		{3, CallFailed, 700 * ms, 1260 * ms},
 		{300, CallFailed, 700 * ms, 1260 * ms},
@@ -119,23 +123,23 @@
 		d := newDriver(t, settings, "a")
 		d.runFor(2 * time.Second)
 		for i := range 8 {
-			pause := d.pauseAfter(tt.failure)
-			if pause > tt.greatest || i > 3 && pause < tt.least {
-				t.Errorf("%+v: call %d came after %v", tt, i, pause)
+			delay := d.retryDelayAfter(tt.failure)
+			if delay > tt.greatest || i > 3 && delay < tt.least {
+				t.Errorf("%+v: call %d followed after %v", tt, i, delay)
 			}
 		}
 		d.handle(ListUpdate{Kind: ListFull})
-		d.handle(ListUpdate{Kind: ListFailed}) // the watch has ended, and then a call fails
+		d.handle(ListUpdate{Kind: ListFailed}) // the subscription ends, and then a call fails
 		d.runFor(2 * time.Second)
-		if pause := d.pauseAfter(tt.failure); pause > 200*ms {
-			t.Errorf("%+v: after a list a call came after %v", tt, pause)
+		if delay := d.retryDelayAfter(tt.failure); delay > 200*ms {
+			t.Errorf("%+v: the first call after a list was made after %v, want at most 200ms", tt, delay)
 		}
 	}
 }
 
-// A list service that tells changes by itself is this instance's own: after a watch has ended it is called at once, before
-// the list may not be relied on any more, and not at a time that is spread for all instances.
-func TestOwnListServiceIsCalledAtOnce(t *testing.T) {
+// A list service that pushes changes serves only this instance. After the subscription has ended, it must be
+// called at once, before the list lease expires, rather than at a time that is spread over all instances.
+func TestPushingListServiceIsCalledAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := testSettings()
 		settings.SubscribeRequired, settings.SubscribeImmediately, settings.ListPushed = true, true, true
@@ -147,14 +151,14 @@
 		d := &driver{t: t, balancer: b, now: time.Minute}
 		d.handle(ListUpdate{Kind: ListFull})
 		d.runFor(2 * time.Second)
-		if pause := d.pauseAfter(CallFailed); pause > 20*ms {
-			t.Errorf("seed %d: called after %v", seed, pause)
+		if delay := d.retryDelayAfter(CallFailed); delay > 20*ms {
+			t.Errorf("seed %d: called after %v, want at most 20ms", seed, delay)
 		}
 	}
 }
 
-// pauseAfter is how long after a failed call the next one comes.
-func (d *driver) pauseAfter(failure ListFailure) time.Duration {
+// retryDelayAfter reports a failed call and returns the time until the next call.
+func (d *driver) retryDelayAfter(failure ListFailure) time.Duration {
 	failedAt := d.now
 	d.handle(ListUpdate{Kind: ListFailed, Failure: failure})
 	for len(actionsOf[Subscribe](d.runFor(10*ms))) == 0 && d.now < failedAt+time.Minute {
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -24,8 +24,8 @@
 		{"reset, idempotent", Idempotent, ScopeAll, Reset, rejected},
 		{"reset, keyed for all", IdempotencyKeyed, ScopeAll, Reset, rejected},
 		{"reset, keyed for a zone", IdempotencyKeyed, ScopeZone, Reset, failed},
-		{"time-out, idempotent", Idempotent, ScopeAll, TimedOut, rejected},
-		{"time-out, not idempotent", NonIdempotent, ScopeAll, TimedOut, failed},
+		{"timeout, idempotent", Idempotent, ScopeAll, TimedOut, rejected},
+		{"timeout, not idempotent", NonIdempotent, ScopeAll, TimedOut, failed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 				got = retried
 			}
 			if got != tt.want {
-				t.Errorf("after %s: %v, want %s", server, actions, tt.want)
+				t.Errorf("after an attempt at %s: got %v, want %s", server, actions, tt.want)
 			}
 		})
 	}
@@ -57,20 +57,20 @@
 	loads := equalLoads(0.1, "a", "b")
 	d.openConnections(1, "a")
 	probed := actionsOf[Probe](d.sendRequest("r"))[0].Server
-	// The server drains while its report is on the way.
+	// The server starts to drain while its probe is in flight.
 	d.updateList(ListDelta, ServerEntry{ID: probed, State: Draining})
 	if got := actionsOf[Attempt](d.answerProbe(probed, 0.1)); len(got) != 0 {
-		t.Errorf("sent to %s, which drains", got[0].Server)
+		t.Errorf("request sent to %s, which is draining", got[0].Server)
 	}
 	for i := range 20 {
 		if _, server := d.placeRequest(fmt.Sprint("r", i), loads); server == probed {
-			t.Fatalf("sent to %s, which drains", server)
+			t.Fatalf("request sent to %s, which is draining", server)
 		}
 	}
-	d.updateList(ListFull, ServerEntry{ID: probed}) // ready again, the other one not named: gone
+	d.updateList(ListFull, ServerEntry{ID: probed}) // the probed server is ready again, the other one is gone
 	for i := range 20 {
 		if _, server := d.placeRequest(fmt.Sprint("q", i), loads); server != "" && server != probed {
-			t.Fatalf("sent to %s, which the complete list no longer names", server)
+			t.Fatalf("request sent to %s, which the complete list does not contain", server)
 		}
 	}
 }
@@ -92,13 +92,13 @@
 			}
 		}
 		if want := max(maxAttempts, 1); attempts != want {
-			t.Errorf("%d attempts where %d are allowed", attempts, want)
+			t.Errorf("%d attempts, want %d", attempts, want)
 		}
 	}
 }
 
-// A second end of one attempt had the request wait twice for admission: it drew twice at once, and
-// was sent twice.
+// Regression test: a second report of the end of an attempt queued the request for admission twice, so that
+// it made two draws at the same time and was sent twice.
 func TestDuplicateAttemptEndIsIgnored(t *testing.T) {
 	for _, outcome := range []Outcome{AtCapacity, ConnectFailed, Errored, Reset} {
 		d := newDriver(t, testSettings(), "a", "b", "c", "d")
@@ -110,16 +110,16 @@
 			attempts += len(actionsOf[Attempt](d.answerProbe(p.Server, 0.1)))
 		}
 		if attempts != 1 || answers != 0 {
-			t.Errorf("%d more attempts and %d answers after a second end, want 1 and 0", attempts, answers)
+			t.Errorf("%d attempts and %d answers after a duplicate end, want 1 and 0", attempts, answers)
 		}
 	}
 }
 
-// unplaceableCase is how a request comes to be one that no ready server may be sent.
+// unplaceableCase is a way in which a request becomes unplaceable: no ready server is allowed for it.
 type unplaceableCase struct {
-	name string
-	set  func(*Settings) // nil: one server, else three
-	play func(d *driver) []Action
+	name           string
+	changeSettings func(*Settings)          // nil for default settings and only one server
+	trigger        func(d *driver) []Action // returns the actions of the last event
 }
 
 func unplaceableCases() []unplaceableCase {
@@ -132,16 +132,16 @@
 			onlyServerDrains(d)
 			return d.sendRequest("r")
 		}},
-		{"the last one leaves while it is probed", nil, func(d *driver) []Action {
+		{"the last server drains while it is probed", nil, func(d *driver) []Action {
 			d.sendRequest("r")
 			return onlyServerDrains(d)
 		}},
-		{"the last one leaves while it waits", nil, func(d *driver) []Action {
+		{"the last server drains while the request is queued", nil, func(d *driver) []Action {
 			d.balancer.reduceWindow()
 			d.sendRequest("r")
 			return onlyServerDrains(d)
 		}},
-		{"all were tried", func(s *Settings) { s.Limits.MaxAttempts = 9 }, func(d *driver) []Action {
+		{"all servers were tried", func(s *Settings) { s.Limits.MaxAttempts = 9 }, func(d *driver) []Action {
 			actions := d.sendRequest("r")
 			for i := range 3 {
 				actions = d.answerProbes(actions, 0.1)
@@ -151,14 +151,14 @@
 			}
 			return actions
 		}},
-		{"its key window ends while it waits", keyed, func(d *driver) []Action {
+		{"the key window ends while the request is queued", keyed, func(d *driver) []Action {
 			d.answerProbes(d.sendRequest("r"), 0.1)
 			d.balancer.reduceWindow()
 			d.balancer.admission.backoffEndsAt = d.now + time.Second
 			d.endAttempt(0, "a", Errored)
 			return d.runFor(102 * ms)
 		}},
-		{"its key window ends while it is probed", keyed, func(d *driver) []Action {
+		{"the key window ends while a server is probed", keyed, func(d *driver) []Action {
 			d.answerProbes(d.sendRequest("r"), 0.1)
 			d.now += 90 * ms
 			probes := actionsOf[Probe](d.endAttempt(0, d.balancer.requests.byID["r"].server.ID, Errored))
@@ -168,19 +168,20 @@
 	}
 }
 
-// Requests that no ready server may be sent waited for their deadline all the same.
+// Regression test: requests for which no ready server was allowed were held until their deadlines. They must
+// be rejected at once.
 func TestUnplaceableRequestIsRejectedAtOnce(t *testing.T) {
 	for _, tt := range unplaceableCases() {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := testSettings()
-			if tt.set != nil {
-				tt.set(&settings)
+			if tt.changeSettings != nil {
+				tt.changeSettings(&settings)
 			}
 			d := newDriver(t, settings, "a", "b", "c")
-			if tt.set == nil {
+			if tt.changeSettings == nil {
 				d.updateList(ListFull, readyEntries("a")...)
 			}
-			got := tt.play(d)
+			got := tt.trigger(d)
 			rejected := actionsOf[Reject](got)
 			if len(rejected) != 1 || rejected[0].RetryAfter == 0 || len(actionsOf[Attempt](got)) != 0 {
 				t.Errorf("got %v, want one rejection with a Retry-After", got)
@@ -189,9 +190,10 @@
 	}
 }
 
-// The key window counts from the first attempt that may have run, and that may have been at once.
-// Counted from the latest end, a third attempt came too late.
-func TestKeyWindowCountsFromFirstAttempt(t *testing.T) {
+// The key window starts when the first attempt that may have run is sent, because it may have run
+// immediately. Regression test: when the window was counted from the latest end of an attempt, a third
+// attempt was sent too late.
+func TestKeyWindowStartsWithFirstAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency, settings.Classes[0].KeyWindow = IdempotencyKeyed, 100*ms
 	d := newDriver(t, settings, "a", "b", "c")
@@ -205,21 +207,21 @@
 		}
 	}
 	if len(actionsOf[Reject](got)) != 1 {
-		t.Errorf("120 ms after it may first have run: %v, want a rejection", got)
+		t.Errorf("120 ms after the first attempt: got %v, want a rejection", got)
 	}
 }
 
-// A client waits no longer than its class's deadline in all: the pause that it is asked for leaves
-// it time to come again, whatever the greatest pause of the deployment is.
+// A client waits no longer than the deadline of its class in total, so the Retry-After must leave it time for
+// a retry, whatever the maximum Retry-After in the settings is.
 func TestRetryAfterIsWithinDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.MaxRetryAfter, settings.Classes[0].Deadline = 10*time.Second, 600*ms
 	d := newDriver(t, settings)
-	d.updateList(ListFull) // no server: rejected at once
+	d.updateList(ListFull) // no server, so requests are rejected at once
 	for i := range 100 {
 		got := actionsOf[Reject](d.sendRequest(fmt.Sprint("r", i)))
 		if len(got) != 1 || got[0].RetryAfter <= 0 || got[0].RetryAfter > 300*ms {
-			t.Fatalf("rejected with %v", got)
+			t.Fatalf("got %v, want one rejection with a Retry-After of at most 300 ms", got)
 		}
 	}
 }
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -9,9 +9,9 @@
 	"coralrelay/internal/refmodel"
 )
 
-// randomEvents plays legal events at random against one instance and has the reference model check
-// every one, and every action. It models no load.
-type randomEvents struct {
+// eventFuzzer passes random but legal events to one Balancer. The reference model checks every event and
+// every action. Reported loads are random and do not depend on the connections.
+type eventFuzzer struct {
 	t            *testing.T
 	rng          *rand.Rand
 	settings     Settings
@@ -20,28 +20,29 @@
 	requests     map[string]*trackedRequest
 	requestCount int
 	servers      map[string]*ServerEntry
-	probes       []string // servers whose probe is out
-	actions      []Action // all so far
+	probes       []string // servers with a probe in flight
+	actions      []Action // all actions so far
 
-	lease        QuotaLease // the latest
+	lease        QuotaLease // the latest one
 	leaseEndsAt  time.Duration
-	zoneAttempts map[string]int // attempts by zone in the lease's period
+	zoneAttempts map[string]int // attempts by zone in the period of the lease
 }
 
-// trackedRequest is what has to be known of a request to go on with it.
+// trackedRequest is the state of a request from which its next events are chosen.
 type trackedRequest struct {
 	Request
-	attemptServer string // where its attempt or connection is
+	attemptServer string // the server of its current attempt or connection; empty for none
 	attemptCount  int
 	established   bool
 	answered      bool
 }
 
-// randomServers is how many servers the random events are about.
-const randomServers = 6
+// fuzzedServers is the number of servers in the list.
+const fuzzedServers = 6
 
-func newRandomEvents(t *testing.T, seed uint64, settings Settings) *randomEvents {
-	w := &randomEvents{
+// newEventFuzzer returns a fuzzer whose Balancer has received a list of all servers.
+func newEventFuzzer(t *testing.T, seed uint64, settings Settings) *eventFuzzer {
+	f := &eventFuzzer{
 		t:        t,
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		settings: settings,
@@ -54,116 +55,118 @@
 			FailFastLimit: 2 * settings.Tick,
 		}),
 	}
-	w.driver = newDriver(t, settings)
-	for i := range randomServers {
+	f.driver = newDriver(t, settings)
+	for i := range fuzzedServers {
 		id := fmt.Sprint("s", i)
-		w.servers[id] = &ServerEntry{ID: id, Zone: fmt.Sprint("z", i%2), Cell: i % 3}
+		f.servers[id] = &ServerEntry{ID: id, Zone: fmt.Sprint("z", i%2), Cell: i % 3}
 	}
-	w.updateList(ListFull)
-	return w
+	f.updateList(ListFull)
+	return f
 }
 
-// updateList hands over a list of the servers as they are now.
-func (w *randomEvents) updateList(kind ListKind) {
-	var list []ServerEntry
-	for i := range randomServers {
-		s := w.servers[fmt.Sprint("s", i)]
-		w.checker.NodeNotified(w.driver.now, s.ID, refmodel.ServerState(s.State), s.StartedAt)
+// updateList passes the current state of the servers to the Balancer.
+func (f *eventFuzzer) updateList(kind ListKind) {
+	var entries []ServerEntry
+	for i := range fuzzedServers {
+		s := f.servers[fmt.Sprint("s", i)]
+		f.checker.NodeNotified(f.driver.now, s.ID, refmodel.ServerState(s.State), s.StartedAt)
 		if kind == ListDelta || s.State != Gone {
-			list = append(list, *s)
+			entries = append(entries, *s)
 		}
 	}
-	w.recordActions(w.driver.updateList(kind, list...))
+	f.recordActions(f.driver.updateList(kind, entries...))
 }
 
-// repeatRules is what the reference model has to know of a class.
-func (w *randomEvents) repeatRules(c Class) refmodel.RetryPolicy {
-	rules := refmodel.RetryPolicy{Forbidden: c.Idempotency == NonIdempotent}
+// retryPolicy returns the rules of the reference model for retries of the class.
+func (f *eventFuzzer) retryPolicy(c Class) refmodel.RetryPolicy {
+	policy := refmodel.RetryPolicy{Forbidden: c.Idempotency == NonIdempotent}
 	if c.Idempotency != IdempotencyKeyed {
-		return rules
+		return policy
 	}
-	rules.Within = c.KeyWindow
+	policy.Within = c.KeyWindow
 	switch c.KeyScope {
 	case ScopeZone:
-		rules.AllowedOn = func(ran, s string) bool { return w.servers[ran].Zone == w.servers[s].Zone }
+		policy.AllowedOn = func(ran, s string) bool { return f.servers[ran].Zone == f.servers[s].Zone }
 	case ScopeCell:
-		rules.AllowedOn = func(ran, s string) bool { return w.servers[ran].Cell == w.servers[s].Cell }
+		policy.AllowedOn = func(ran, s string) bool { return f.servers[ran].Cell == f.servers[s].Cell }
 	}
-	return rules
+	return policy
 }
 
-// recordActions has the actions checked and tracks what they start.
-func (w *randomEvents) recordActions(actions []Action) {
-	w.t.Helper()
-	w.actions = append(w.actions, actions...)
+// recordActions passes the actions to the reference model and updates the tracked requests and probes.
+func (f *eventFuzzer) recordActions(actions []Action) {
+	f.t.Helper()
+	f.actions = append(f.actions, actions...)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Attempt:
-			w.checker.AttemptSent(w.driver.now, a.ID, a.Server)
-			r := w.requests[a.ID]
-			w.checkConstraints(r.Constraint, w.servers[a.Server].Zone)
+			f.checker.AttemptSent(f.driver.now, a.ID, a.Server)
+			r := f.requests[a.ID]
+			f.checkConstraints(r.Constraint, f.servers[a.Server].Zone)
 			r.attemptServer = a.Server
 			r.attemptCount++
 		case Reject:
-			w.checker.RequestAnswered(w.driver.now, a.ID, refmodel.Refused)
-			w.requests[a.ID].answered = true
+			f.checker.RequestAnswered(f.driver.now, a.ID, refmodel.Refused)
+			f.requests[a.ID].answered = true
 		case Fail:
-			w.checker.RequestAnswered(w.driver.now, a.ID, refmodel.Failed)
-			w.requests[a.ID].answered = true
+			f.checker.RequestAnswered(f.driver.now, a.ID, refmodel.Failed)
+			f.requests[a.ID].answered = true
 		case Probe:
-			if w.servers[a.Server] == nil {
-				w.t.Fatalf("probe of unknown server %s", a.Server)
+			if f.servers[a.Server] == nil {
+				f.t.Fatalf("probe of unknown server %s", a.Server)
 			}
-			w.probes = append(w.probes, a.Server)
+			f.probes = append(f.probes, a.Server)
 		case Migrate:
-			if w.requests[a.ID] == nil {
-				w.t.Fatalf("migration of unknown %s", a.ID)
+			if f.requests[a.ID] == nil {
+				f.t.Fatalf("migration of unknown request %s", a.ID)
 			}
 		}
 	}
-	if len(w.checker.Violations) > 0 {
-		w.t.Fatal(w.checker.Violations)
+	if len(f.checker.Violations) > 0 {
+		f.t.Fatal(f.checker.Violations)
 	}
 }
 
-// checkConstraints holds an attempt to its request's constraint and to the lease.
-func (w *randomEvents) checkConstraints(constraint *ZoneConstraint, zone string) {
+// checkConstraints checks that an attempt in the zone is permitted by its request's constraint and by the
+// quota lease.
+func (f *eventFuzzer) checkConstraints(constraint *ZoneConstraint, zone string) {
 	if constraint != nil && constraint.shareOf(zone) == 0 {
-		w.t.Fatalf("sent into %s, constrained by %+v", zone, constraint)
+		f.t.Fatalf("attempt in zone %s despite the constraint %+v", zone, constraint)
 	}
-	if w.driver.now >= w.leaseEndsAt {
+	if f.driver.now >= f.leaseEndsAt {
 		return
 	}
-	w.zoneAttempts[zone]++
-	for _, z := range w.lease.Zones {
-		if z.Zone == zone && (z.Share == 0 || z.Tokens >= 0 && w.zoneAttempts[zone] > z.Tokens) {
-			w.t.Fatalf("attempt %d in the period into %s, by %+v", w.zoneAttempts[zone], zone, z)
+	f.zoneAttempts[zone]++
+	for _, z := range f.lease.Zones {
+		if z.Zone == zone && (z.Share == 0 || z.Tokens >= 0 && f.zoneAttempts[zone] > z.Tokens) {
+			f.t.Fatalf("attempt %d of the period in zone %s despite the quota %+v",
+				f.zoneAttempts[zone], zone, z)
 		}
 	}
 }
 
-// endAttempt ends a request's attempt, or its connection, with an outcome.
-func (w *randomEvents) endAttempt(r *trackedRequest, outcome Outcome) {
+// endAttempt ends a request's attempt, or its connection, with the given outcome.
+func (f *eventFuzzer) endAttempt(r *trackedRequest, outcome Outcome) {
 	server := r.attemptServer
 	r.attemptServer = ""
 	final := outcome == OK || r.established
 	switch {
 	case r.established:
 	case outcome == OK:
-		w.checker.RequestAnswered(w.driver.now, r.ID, refmodel.Served)
+		f.checker.RequestAnswered(f.driver.now, r.ID, refmodel.Served)
 	case outcome == AtCapacity || outcome == ConnectFailed || outcome == NotSent:
-		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.NotRun)
+		f.checker.AttemptEnded(f.driver.now, r.ID, refmodel.NotRun)
 	case outcome == Errored:
-		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.MayHaveRun)
+		f.checker.AttemptEnded(f.driver.now, r.ID, refmodel.MayHaveRun)
 	default:
-		w.checker.AttemptEnded(w.driver.now, r.ID, refmodel.NoReply)
+		f.checker.AttemptEnded(f.driver.now, r.ID, refmodel.NoReply)
 	}
 	r.answered = final
-	w.reportEnd(r, server, outcome, final)
+	f.reportAttemptEnd(r, server, outcome, final)
 }
 
-// reportEnd hands over the end of a request's latest attempt.
-func (w *randomEvents) reportEnd(r *trackedRequest, server string, outcome Outcome, final bool) {
-	w.recordActions(w.driver.handle(AttemptEnded{ID: r.ID, Attempt: r.attemptCount - 1, Server: server,
+// reportAttemptEnd reports to the Balancer that the request's latest attempt has ended.
+func (f *eventFuzzer) reportAttemptEnd(r *trackedRequest, server string, outcome Outcome, final bool) {
+	f.recordActions(f.driver.handle(AttemptEnded{ID: r.ID, Attempt: r.attemptCount - 1, Server: server,
 		Outcome: outcome, Final: final, LoadReport: EmptyLoadReport}))
 }
--- a/balance/rebalance_test.go
+++ b/balance/rebalance_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// The timer of a probe's timeout, still to come when the connection stood, was taken for the one
-// that migrates it.
+// Regression test: the timer of a probe timeout that was still pending when the connection was established
+// was taken for the timer of its migration.
 func TestStaleTimerDoesNotMigrate(t *testing.T) {
 	d := newDriver(t, testSettings(), "a")
 	if _, server := d.placeRequest("r", equalLoads(0.1, "a")); server != "a" {
-		t.Fatalf("placed on %q", server)
+		t.Fatalf("placed on %q, want a", server)
 	}
 	d.handle(ConnectionEstablished{ID: "r", Server: "a"})
 	if got := actionsOf[Migrate](d.runFor(5 * time.Second)); len(got) != 0 {
@@ -23,12 +23,12 @@
 	d.openConnections(5, "a")
 	d.updateList(ListDelta, ServerEntry{ID: "a", State: Draining})
 	if got := actionsOf[Migrate](d.runFor(drainSpread + ms)); len(got) != 5 {
-		t.Errorf("%d migrations within the spread, want 5", len(got))
+		t.Errorf("%d migrations within drainSpread, want 5", len(got))
 	}
 }
 
-// Migrations follow fresh reports only: an unanswered probe leaves the last one, which may be long
-// out of date.
+// Connections must be migrated only after a fresh report. After an unanswered probe, the last report may be
+// long out of date.
 func TestRebalancingNeedsFreshReport(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		d := newDriver(t, testSettings(), "a", "b")
@@ -42,13 +42,14 @@
 			got = d.handle(ProbeResult{Server: "a", Outcome: TimedOut, LoadReport: EmptyLoadReport})
 		}
 		if n := len(actionsOf[Migrate](got)); (n > 0) != answered {
-			t.Errorf("answered %v: %d migrations", answered, n)
+			t.Errorf("probe answered %v: %d migrations", answered, n)
 		}
 	}
 }
 
-// A server that is far above an easy fleet gives up connections sooner: on a calm day its load
-// swings over its capacity now and then, and others have capacity left.
+// A server far above the mean load of a lightly loaded fleet must migrate connections at a lower load than in
+// a loaded fleet: its load fluctuates and at times exceeds its capacity, although other servers have
+// capacity.
 func TestUnevenLoadIsRebalanced(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.openConnections(40, "a")
@@ -60,14 +61,14 @@
 	}
 }
 
-// A server that was overloaded from the start is rebalanced in its first seconds: a report from
-// before is asked for again, the first round has the whole migration budget, and after it the
-// server is probed again, all without a draw.
+// A server that is overloaded when its connections are taken over must be rebalanced within seconds, without
+// any draw: it is probed again if its report predates the connections, the first round of migrations may use
+// the whole budget, and the server is probed again after it.
 func TestOverloadedServerIsRebalancedAfterTakeover(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.openConnections(40, "a")
-	loads := []float64{0, 1.06, 1} // by its reports, one after the other
-	var migrated []int             // after each of them
+	loads := []float64{0, 1.06, 1} // of the consecutive reports
+	var migrated []int             // number of migrations after each report
 	for d.now < 5*time.Second && len(migrated) < len(loads) {
 		for range actionsOf[Probe](d.runFor(maintenanceInterval)) {
 			actions := d.answerProbe("a", loads[len(migrated)])
@@ -75,23 +76,23 @@
 		}
 	}
 	if len(migrated) != 3 || migrated[0] != 0 || migrated[1] < 6 || migrated[2] == 0 {
-		t.Errorf("migrated %v after each report, want none, a good part, some more", migrated)
+		t.Errorf("migrations after each report are %v, want 0, at least 6, at least 1", migrated)
 	}
 }
 
-// On sockets nothing but its reports shows that a server grows full or slow, and draws may not meet
-// it for many seconds: one that holds connections is probed.
+// On long-lived connections, only its reports show that a server has become full or slow, and draws may miss
+// it for many seconds. A server that holds connections must therefore be probed regularly.
 func TestServersWithConnectionsAreProbed(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.openConnections(1, "a")
-	probed := map[string]int{}
+	probes := map[string]int{}
 	for range 40 {
 		for _, p := range actionsOf[Probe](d.runFor(maintenanceInterval)) {
-			probed[p.Server]++
+			probes[p.Server]++
 			d.answerProbe(p.Server, 0.5)
 		}
 	}
-	if probed["a"] < 5 || probed["a"] > 12 || probed["b"] != 0 {
-		t.Errorf("probed %v in 10 s, want a now and then and b never", probed)
+	if probes["a"] < 5 || probes["a"] > 12 || probes["b"] != 0 {
+		t.Errorf("probes in 10 s are %v, want 5 to 12 of a and none of b", probes)
 	}
 }
--- a/balance/refmodel_test.go
+++ b/balance/refmodel_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// allClassesSettings has a class of every idempotency and key scope.
+// allClassesSettings returns settings with a class for each kind of idempotency and each key scope.
 func allClassesSettings() Settings {
 	settings := testSettings()
 	settings.Connections.GroupAffinity = true
@@ -28,58 +28,60 @@
 	return settings
 }
 
-// playRandomEvents plays so many random events.
-func playRandomEvents(t *testing.T, seed uint64, events int) *randomEvents {
-	w := newRandomEvents(t, seed, allClassesSettings())
+// runRandomEvents passes the given number of random events to a new Balancer.
+func runRandomEvents(t *testing.T, seed uint64, events int) *eventFuzzer {
+	f := newEventFuzzer(t, seed, allClassesSettings())
 	for range events {
-		w.step()
+		f.step()
 	}
-	return w
+	return f
 }
 
-func TestReferenceModelHoldsUnderRandomEvents(t *testing.T) {
+func TestRandomEventsSatisfyReferenceModel(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := playRandomEvents(t, seed, 700)
-			w.advance(2 * time.Second)
-			if owed := w.checker.Unanswered(); len(owed) > 0 {
-				t.Fatalf("never answered: %v", owed)
+			f := runRandomEvents(t, seed, 700)
+			f.advance(2 * time.Second)
+			if unanswered := f.checker.Unanswered(); len(unanswered) > 0 {
+				t.Fatalf("requests without a final answer: %v", unanswered)
 			}
 		})
 	}
 }
 
-// The same seed and events give the same actions: nothing depends on map order.
-func TestSameSeedSameActions(t *testing.T) {
-	first, second := playRandomEvents(t, 7, 700), playRandomEvents(t, 7, 700)
+// The same seed and events must give the same actions. Decisions that depend on the iteration order of a map
+// would make runs irreproducible.
+func TestSameSeedGivesSameActions(t *testing.T) {
+	first, second := runRandomEvents(t, 7, 700), runRandomEvents(t, 7, 700)
 	if !reflect.DeepEqual(first.actions, second.actions) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed returned different actions")
 	}
 }
 
-// What has ended leaves nothing behind.
+// Requests that have ended must not remain in any table, queue or counter.
 func TestEndedRequestsLeaveNoState(t *testing.T) {
-	w := playRandomEvents(t, 3, 1000)
-	w.advance(2 * time.Second)
-	for i := range w.requestCount {
-		if r := w.requests[fmt.Sprint("r", i+1)]; r.established && !r.answered {
-			w.endAttempt(r, OK)
+	f := runRandomEvents(t, 3, 1000)
+	f.advance(2 * time.Second)
+	for i := range f.requestCount {
+		if r := f.requests[fmt.Sprint("r", i+1)]; r.established && !r.answered {
+			f.endAttempt(r, OK)
 		}
 	}
-	b := w.driver.balancer
+	b := f.driver.balancer
 	for _, s := range b.servers.byID {
 		if len(s.waitingRequests) != 0 || len(s.connections) != 0 || s.State == Gone {
-			t.Errorf("%s: %d wait for its probe, %d connections, state %v",
+			t.Errorf("%s: %d requests waiting for its probe, %d connections, state %v",
 				s.ID, len(s.waitingRequests), len(s.connections), s.State)
 		}
 	}
 	requests := &b.requests
-	left := len(requests.byID) + len(requests.bySequence) + len(requests.groups) + requests.openConnections
-	if left != 0 {
-		t.Errorf("left: %d requests, %d by sequence, %d groups, %d open connections",
+	remaining := len(requests.byID) + len(requests.bySequence) + len(requests.groups) +
+		requests.openConnections
+	if remaining != 0 {
+		t.Errorf("remaining: %d requests, %d by sequence, %d groups, %d open connections",
 			len(requests.byID), len(requests.bySequence), len(requests.groups), requests.openConnections)
 	}
 	if len(b.admission.queue) != 0 || b.admission.inSetup != 0 {
-		t.Errorf("left: %d queued, %d in set-up", len(b.admission.queue), b.admission.inSetup)
+		t.Errorf("remaining: %d queued, %d in set-up", len(b.admission.queue), b.admission.inSetup)
 	}
 }
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Other settings hold for what comes from then on: fewer attempts for all requests, also for those
-// that wait for one; another class only for requests that come later.
+// Changed limits must apply at once to all requests, including those that wait for an attempt. A changed
+// class must apply only to requests that arrive later.
 func TestSettingsChanged(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.MaxAttempts = 4
@@ -24,7 +24,7 @@
 		for len(actionsOf[Attempt](actions)) == 0 {
 			probes := actionsOf[Probe](actions)
 			if len(probes) == 0 {
-				t.Fatalf("%s: %v", id, actions)
+				t.Fatalf("request %s: got %v, want a probe or an attempt", id, actions)
 			}
 			actions = d.reportLoad(probes[0].Server, loadReport(0.1, 5))
 		}
@@ -32,9 +32,9 @@
 	d.placeRequest("old", loads)
 	d.placeRequest("waits", loads)
 	expectRetry("old", fail("old", 0, Errored))
-	waits := fail("waits", 0, AtCapacity) // draws again, and waits for a probe
-	if len(actionsOf[Probe](waits)) == 0 {
-		t.Fatalf("%v", waits)
+	retryActions := fail("waits", 0, AtCapacity) // draws again and waits for a probe
+	if len(actionsOf[Probe](retryActions)) == 0 {
+		t.Fatalf("%v", retryActions)
 	}
 
 	changed := settings
@@ -44,28 +44,28 @@
 		{Name: "new", LatencyObjective: 300 * ms, Deadline: time.Second},
 	}
 	if got := actionsOf[Reject](d.handle(SettingsChanged{changed})); len(got) != 1 || got[0].ID != "waits" {
-		t.Errorf("of those that have made as many attempts as are allowed now, rejected: %v", got)
+		t.Errorf("rejected after lowering the attempt limit: %v, want only the waiting request", got)
 	}
 	if got := fail("old", 1, Errored); len(actionsOf[Reject](got)) != 1 {
-		t.Errorf("an old request, whose repeats do no harm: %v", got)
+		t.Errorf("idempotent request from before the change: got %v, want a rejection", got)
 	}
 	d.placeRequest("later", loads)
 	if got := fail("later", 0, Errored); len(actionsOf[Fail](got)) != 1 {
-		t.Errorf("a request of the stricter class: %v", got)
+		t.Errorf("non-idempotent request after the change: got %v, want a failure", got)
 	}
 	changed.Limits.MaxAttempts = 2
 	d.handle(SettingsChanged{changed})
 	d.placeRequest("last", loads)
 	expectRetry("last", fail("last", 0, AtCapacity))
 	if classes := d.balancer.classes; classes["new"] == nil || len(classes) != 2 {
-		t.Errorf("classes %v", classes)
+		t.Errorf("classes after the change are %v, want c and new", classes)
 	}
 }
 
 func TestSettingsValidate(t *testing.T) {
 	for name, tt := range map[string]struct {
-		spoil func(*Settings)
-		want  string
+		invalidate func(*Settings)
+		want       string
 	}{
 		"no classes":     {func(s *Settings) { s.Classes = nil }, "settings: no classes"},
 		"negative grace": {func(s *Settings) { s.Rules.DrainGrace = -1 }, "settings: rules: a negative time"},
@@ -76,7 +76,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
-			tt.spoil(&settings)
+			tt.invalidate(&settings)
 			_, err := New(1, settings)
 			var settingsError *SettingsError
 			if !errors.As(err, &settingsError) || err.Error() != tt.want {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,8 +8,8 @@
 	"coralrelay/internal/refmodel"
 )
 
-// All instances together must keep to a cold server's budget, whether they are five or 280; each
-// knows only its own traffic.
+// All instances together must keep to a cold server's budget, with 5 instances as with 280, although each
+// instance sees only its own traffic.
 func TestColdServerBudget(t *testing.T) {
 	for _, instances := range []int{5, 280} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -21,9 +21,11 @@
 			}
 			perSecond := float64(sent) / float64(rounds) / slowStartSpan.Seconds()
 			capacity := settings.Rules.InitialCapacity // at the start; it only grows
-			budget := settings.Rules.OverloadMultiple * capacity * slowStartRate / slowStartServers / slowStartLoad
+			budget := settings.Rules.OverloadMultiple * capacity *
+				slowStartRate / slowStartServers / slowStartLoad
 			if perSecond > budget || sent == 0 {
-				t.Errorf("sent %.2f a second to a cold server, its budget is %.2f", perSecond, budget)
+				t.Errorf("%.2f attempts per second at a cold server, want more than 0 and at most %.2f",
+					perSecond, budget)
 			}
 		})
 	}
@@ -31,52 +33,53 @@
 
 const (
 	slowStartServers = 40
-	slowStartRate    = 40.0 // first arrivals a second
-	slowStartLoad    = 0.6  // of all servers but the cold one
-	slowStartSpan    = 2 * time.Second
+	slowStartRate    = 40.0            // first arrivals per second
+	slowStartLoad    = 0.6             // load of all servers except the cold one
+	slowStartSpan    = 2 * time.Second // time over which attempts are counted
 )
 
-// attemptsAtColdServer counts the attempts that one instance sends to a cold server in
-// slowStartSpan. Requests come at an even distance, at the instances in turn.
+// attemptsAtColdServer counts the attempts that one instance sends to a cold server within slowStartSpan
+// after its start. Requests arrive at equal intervals at the instances in turn; the seed selects the
+// instance.
 func attemptsAtColdServer(t *testing.T, seed uint64, settings Settings) (sent int) {
 	b, err := New(seed, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &driver{t: t, balancer: b, now: 100 * time.Second}
-	var list []ServerEntry
+	var entries []ServerEntry
 	loads := map[string]float64{}
 	for i := range slowStartServers {
-		list = append(list, ServerEntry{ID: fmt.Sprint("s", i)})
-		loads[list[i].ID] = slowStartLoad
+		entries = append(entries, ServerEntry{ID: fmt.Sprint("s", i)})
+		loads[entries[i].ID] = slowStartLoad
 	}
-	d.updateList(ListFull, list...)
+	d.updateList(ListFull, entries...)
 
-	gap := time.Duration(float64(settings.Instances) / slowStartRate * float64(time.Second))
-	turn := time.Duration(int(seed) % settings.Instances)
-	at := d.now + gap*turn/time.Duration(settings.Instances)
-	coldAt := d.now + max(20*time.Second, 4*gap)
-	for i := 0; at < coldAt+slowStartSpan; i++ {
-		d.now = at
-		if at >= coldAt && loads["s0"] > 0 {
-			loads["s0"], list[0].StartedAt = 0, coldAt
-			d.updateList(ListDelta, list[0])
+	interval := time.Duration(float64(settings.Instances) / slowStartRate * float64(time.Second))
+	instance := time.Duration(int(seed) % settings.Instances)
+	arrivesAt := d.now + interval*instance/time.Duration(settings.Instances)
+	restartsAt := d.now + max(20*time.Second, 4*interval)
+	for i := 0; arrivesAt < restartsAt+slowStartSpan; i++ {
+		d.now = arrivesAt
+		if arrivesAt >= restartsAt && loads["s0"] > 0 {
+			loads["s0"], entries[0].StartedAt = 0, restartsAt
+			d.updateList(ListDelta, entries[0])
 		}
-		if _, server := d.placeRequest(fmt.Sprint("r", i), loads); server == "s0" && at >= coldAt {
+		if _, server := d.placeRequest(fmt.Sprint("r", i), loads); server == "s0" && arrivesAt >= restartsAt {
 			sent++
 		}
-		at += gap
+		arrivesAt += interval
 	}
 	return sent
 }
 
 func TestMostlyColdFleetStillServes(t *testing.T) {
 	d := newDriver(t, testSettings())
-	var list []ServerEntry
+	var entries []ServerEntry
 	for i := range 10 {
-		list = append(list, ServerEntry{ID: fmt.Sprint("s", i), StartedAt: d.now})
+		entries = append(entries, ServerEntry{ID: fmt.Sprint("s", i), StartedAt: d.now})
 	}
-	d.updateList(ListFull, list...)
+	d.updateList(ListFull, entries...)
 	placed := 0
 	for i := range 20 {
 		d.now += 500 * ms
@@ -85,12 +88,12 @@
 		}
 	}
 	if placed < 10 {
-		t.Errorf("%d of 20 placed on a fleet that is cold, want half at least", placed)
+		t.Errorf("%d of 20 requests placed in a fleet of cold servers, want at least 10", placed)
 	}
 }
 
-// An instance that has just started holds nothing, and a reconnect wave must not make servers at
-// half of their load look full: it once was held until its time was up.
+// An instance that has just started holds no connections. In a reconnect wave it must not take servers at
+// half of their capacity for full: the requests of such a wave were once held until their deadlines.
 func TestReconnectWaveAfterRestart(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b", "c", "d")
 	for i := range 24 {
@@ -101,16 +104,16 @@
 		}
 		attempts := actionsOf[Attempt](got)
 		if len(attempts) == 0 {
-			t.Fatalf("request %d of the wave is held", i)
+			t.Fatalf("request %d of the wave was not placed at once", i)
 		}
 		d.handle(ConnectionEstablished{ID: id, Server: attempts[0].Server})
 		d.runFor(10 * ms)
 	}
 }
 
-// What was known of a server is its old process's: a new one under the same ID was left out of
-// draws for the faults of the one that had died with all its connections.
-func TestRestartedServerStartsAfresh(t *testing.T) {
+// The state of a server belongs to its process. Regression test: a new process under the same ID was excluded
+// from draws because of the faults of the previous one, which had died with all its connections.
+func TestServerStateIsResetOnRestart(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.openConnections(200, "a")
 	d.answerProbe("a", 0.9)
@@ -123,15 +126,15 @@
 	capacity := b.capacityShare(s)
 	want := min(capacity, b.slowStartDrawShare(capacity))
 	if share := b.drawShare(&request{}, s); share < want*0.9 {
-		t.Errorf("it keeps %.3f of its draws, want %.3f as any cold server", share, want)
+		t.Errorf("the restarted server keeps %.3f of its draws, want %.3f like any cold server", share, want)
 	}
 	if load := b.estimatedLoad(s); load >= 0 {
-		t.Errorf("load %.2f of a process that has not reported", load)
+		t.Errorf("estimated load %.2f of a process that has not reported, want none", load)
 	}
 }
 
-// While another process of this instance places too, the least that a cold server is sent at once
-// is shared.
+// If several processes place requests for this instance, they share the minimum number of attempts that a
+// cold server may receive at once.
 func TestProcessesShareMinSlowStartAttempts(t *testing.T) {
 	for processes, want := range map[int]int{0: 4, 1: 4, 2: 2} {
 		settings := testSettings()
@@ -143,17 +146,17 @@
 			s.recentAttempts.add(d.balancer.now, 1)
 		}
 		if attempts != want {
-			t.Errorf("%d processes: %d at once, want %d", processes, attempts, want)
+			t.Errorf("%d processes: %d attempts at once, want %d", processes, attempts, want)
 		}
 	}
 }
 
-// A new server holds nothing: its reports attract every instance at once, they are late, clients
-// reconnect in a wave, another server hangs. The reference model counts what all instances
-// together send it.
+// A new server has no connections, so its reports attract all instances at the same time, and they are late.
+// Meanwhile clients reconnect in a wave and another server hangs. The reference model counts the attempts
+// that all instances together send to the new server.
 func TestColdServerUnderFaults(t *testing.T) {
-	const instances, servers, rate, load = 4, 8, 120.0, 0.6 // rate: first arrivals a second
-	serverRate := rate / load / servers                     // a second, for one warm server
+	const instances, servers, rate, load = 4, 8, 120.0, 0.6 // rate: first arrivals per second
+	serverRate := rate / load / servers                     // per second, for one warm server
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			settings := testSettings()
@@ -170,18 +173,19 @@
 				OverloadWindow:    settings.Rules.OverloadDuration,
 				ChanceAllowance:   2,
 			})
-			r := newFleetSimulation(t, seed, settings, checker, instances, servers, serverRate*meanLifetime.Seconds())
-			r.run(8*time.Second, rate, 0)
-			r.startServer("new")         // without connections,
-			r.run(1500*ms, rate, 2*rate) // in a reconnect wave,
-			r.hung["s1"] = true          // while another answers nothing
-			r.run(3*time.Second, rate, rate)
-			r.startServer("s2") // a process replaced under its ID
-			r.run(4*time.Second, rate, rate/2)
-			for _, violation := range checker.Violations { // of all rules
+			sim := newFleetSimulation(t, seed, settings, checker, instances, servers,
+				serverRate*meanConnectionLifetime.Seconds())
+			sim.run(8*time.Second, rate, 0)
+			sim.startServer("new")         // a cold server without connections
+			sim.run(1500*ms, rate, 2*rate) // a reconnect wave
+			sim.hung["s1"] = true          // another server hangs
+			sim.run(3*time.Second, rate, rate)
+			sim.startServer("s2") // a new process under the same ID
+			sim.run(4*time.Second, rate, rate/2)
+			for _, violation := range checker.Violations { // of any rule
 				t.Error(violation)
 			}
-			if got := len(r.connections["new"]); got < 10 {
+			if got := len(sim.connections["new"]); got < 10 {
 				t.Errorf("the new server holds %d connections after 8 s", got)
 			}
 		})
--- a/balance/slowstart_wave_test.go
+++ b/balance/slowstart_wave_test.go
@@ -9,61 +9,62 @@
 	"coralrelay/internal/refmodel"
 )
 
-// reconnectSpan is the time in which the clients of a server that has died come again.
-const reconnectSpan = 150 * ms
+// reconnectSpread is the time over which the clients of a crashed server reconnect.
+const reconnectSpread = 150 * ms
 
-// crash ends all connections of a server, whose clients come again within reconnectSpan.
-func (r *fleetSimulation) crash(id string) {
+// crash resets all connections of a server and makes it hang. The clients reconnect within reconnectSpread.
+func (sim *fleetSimulation) crash(id string) {
 	var lost []string
-	for request := range r.connections[id] {
-		lost = append(lost, request)
+	for requestID := range sim.connections[id] {
+		lost = append(lost, requestID)
 	}
-	slices.Sort(lost) // not in the map's order
-	for _, request := range lost {
-		r.endConnection(r.connections[id][request], request, id, Reset)
-		r.after(time.Duration(r.rng.Int64N(int64(reconnectSpan))), func() { r.arrive(true) })
+	slices.Sort(lost) // in a deterministic order
+	for _, requestID := range lost {
+		sim.endConnection(sim.connections[id][requestID], requestID, id, Reset)
+		sim.schedule(time.Duration(sim.rng.Int64N(int64(reconnectSpread))), func() { sim.sendRequest(true) })
 	}
-	r.hung[id] = true
+	sim.hung[id] = true
 }
 
-// Two warm servers die while three are cold, and their clients come again at once, at all instances. The cold servers
-// keep to their budgets under the sum of what all instances send.
+// Two warm servers crash while three servers are cold, and the clients reconnect at the same time at all
+// instances. The attempts of all instances together must stay within the budgets of the cold servers.
 //
-// On a short day of the bench (seed 48890520) 118 clients came again within 0.4 s of a server's end, beside three cold
-// servers 9 s after their start. One of them got 22 to 32 requests within 1.5 s, of which it could do 6, and fell.
+// In a benchmark run, 118 clients reconnected within 0.4 s after a server had failed, beside three cold
+// servers 9 s after their start. One of these received 22 to 32 requests within 1.5 s, had capacity for 6,
+// and failed.
 func TestReconnectWaveBesideColdServers(t *testing.T) {
 	tests := []struct {
 		instances, servers int
-		window             time.Duration // of the settings, for what a cold server may be sent
+		window             time.Duration // Rules.OverloadDuration, the window of cold servers' budgets
 	}{
 		{instances: 32, servers: 8, window: 1500 * ms},
 		{instances: 32, servers: 8, window: 800 * ms},
 		{instances: 32, servers: 6, window: 800 * ms},
 	}
 	for _, tt := range tests {
-		playReconnectWaves(t, tt.instances, tt.servers, tt.window)
+		runReconnectWaves(t, tt.instances, tt.servers, tt.window)
 	}
 }
 
-// The same wave, as a hundred and more instances see it, of which most hold no connection at the servers that die.
+// The same wave with 100 and 300 instances, most of which hold no connection to the servers that crash.
 func TestReconnectWaveBesideColdServersInLargeFleets(t *testing.T) {
 	for _, instances := range []int{100, 300} {
-		playReconnectWaves(t, instances, 8, 800*ms)
+		runReconnectWaves(t, instances, 8, 800*ms)
 	}
 }
 
-// playReconnectWaves plays the wave with a dozen seeds.
-func playReconnectWaves(t *testing.T, instances, servers int, window time.Duration) {
+// runReconnectWaves simulates the reconnect wave with 12 seeds.
+func runReconnectWaves(t *testing.T, instances, servers int, window time.Duration) {
 	for seed := range uint64(12) {
 		name := fmt.Sprintf("%d instances, %d servers, %v, seed %d", instances, servers, window, seed)
-		t.Run(name, func(t *testing.T) { playReconnectWave(t, seed, instances, servers, window) })
+		t.Run(name, func(t *testing.T) { runReconnectWave(t, seed, instances, servers, window) })
 	}
 }
 
-// playReconnectWave has three servers start anew, and two others die 9 s later.
-func playReconnectWave(t *testing.T, seed uint64, instances, servers int, window time.Duration) {
-	const groups, rate, load = 10, 40.0, 0.5     // rate: first arrivals a second
-	serverRate := rate / load / float64(servers) // a second, for one warm server
+// runReconnectWave simulates a reconnect wave: three servers restart, and two others crash 9 s later.
+func runReconnectWave(t *testing.T, seed uint64, instances, servers int, window time.Duration) {
+	const groups, rate, load = 10, 40.0, 0.5     // rate: first arrivals per second
+	serverRate := rate / load / float64(servers) // per second, for one warm server
 	settings := testSettings()
 	settings.Instances = instances
 	settings.Rules.OverloadDuration = window
@@ -78,23 +79,24 @@
 		OverloadMultiple:  settings.Rules.OverloadMultiple,
 		OverloadWindow:    settings.Rules.OverloadDuration,
 	})
-	r := newFleetSimulation(t, seed, settings, checker, instances, servers, serverRate*meanLifetime.Seconds())
-	r.groups = groups
-	r.run(8*time.Second, rate, 0)
+	sim := newFleetSimulation(t, seed, settings, checker, instances, servers,
+		serverRate*meanConnectionLifetime.Seconds())
+	sim.groups = groups
+	sim.run(8*time.Second, rate, 0)
 	cold := []string{"s0", "s1", "s2"}
 	for _, id := range cold {
-		r.startServer(id)
+		sim.startServer(id)
 	}
-	r.run(9*time.Second, rate, 0)
-	r.crash(fmt.Sprint("s", servers-2))
-	r.crash(fmt.Sprint("s", servers-1))
-	r.run(2*time.Second, rate, 0)
+	sim.run(9*time.Second, rate, 0)
+	sim.crash(fmt.Sprint("s", servers-2))
+	sim.crash(fmt.Sprint("s", servers-1))
+	sim.run(2*time.Second, rate, 0)
 	for _, violation := range checker.Violations {
 		t.Error(violation)
 	}
 	for _, id := range cold {
-		if got := len(r.connections[id]); got < 5 {
-			t.Errorf("%s holds %d connections after 11 s", id, got)
+		if got := len(sim.connections[id]); got < 5 {
+			t.Errorf("%s holds %d connections 11 s after its start, want at least 5", id, got)
 		}
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// subsetBalancer returns an instance that knows so many ready servers.
-func subsetBalancer(t *testing.T, instance, instances, servers, probeConnections int) *Balancer {
+// newSubsetBalancer returns the Balancer of one instance with the given number of ready servers.
+func newSubsetBalancer(t *testing.T, instance, instances, servers, probeConnections int) *Balancer {
 	t.Helper()
 	b, err := New(uint64(instance)+1, Settings{
 		Instance:      instance,
@@ -24,13 +24,16 @@
 	for i := range entries {
 		entries[i] = ServerEntry{ID: fmt.Sprintf("s-%05d", i), Zone: fmt.Sprint("z", i%3)}
 	}
-	rand.Shuffle(servers, func(i, j int) { entries[i], entries[j] = entries[j], entries[i] }) // lists have no order
+	rand.Shuffle(servers, func(i, j int) { // lists are unordered
+		entries[i], entries[j] = entries[j], entries[i]
+	})
 	b.Handle(time.Hour, ListUpdate{Kind: ListFull, Entries: entries}, nil)
 	return b
 }
 
-// At the sizes of usual fleets an instance draws from all servers; beyond them from so many that their
-// probe connections can be kept, and few instances from so many that each server has enough of them.
+// In fleets of usual size, an instance draws from all servers. In larger fleets it draws from as many as it
+// can keep probe connections to, or from more if there are few instances, so that enough instances draw from
+// each server.
 func TestSubsetSize(t *testing.T) {
 	tests := []struct{ instances, servers, probeConnections, want int }{
 		{300, 80, 128, 80},
@@ -45,19 +48,20 @@
 		{300, 0, 128, 0},
 	}
 	for _, tt := range tests {
-		b := subsetBalancer(t, 7, tt.instances, tt.servers, tt.probeConnections)
+		b := newSubsetBalancer(t, 7, tt.instances, tt.servers, tt.probeConnections)
 		if got := b.drawSubset().size; got != tt.want {
-			t.Errorf("%+v: %d servers", tt, got)
+			t.Errorf("%+v: the subset has %d servers", tt, got)
 		}
 	}
 }
 
-// All instances together draw from every server equally often, whatever the order of the list.
-func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
+// The subsets of all instances together must contain every server equally often, whatever the order of the
+// list.
+func TestSubsetsCoverFleetEvenly(t *testing.T) {
 	const instances, servers, probeConnections = 60, 480, 128
 	covered := map[string]int{}
 	for instance := range instances {
-		b := subsetBalancer(t, instance, instances, servers, probeConnections)
+		b := newSubsetBalancer(t, instance, instances, servers, probeConnections)
 		from := b.drawSubset()
 		for index := range from.size {
 			covered[b.servers.ring[(from.start+index)%servers].ID]++
@@ -67,7 +71,7 @@
 	mean := float64(instances*size) / servers
 	for id, count := range covered {
 		if d := float64(count) - mean; d > 1 || d < -1 {
-			t.Errorf("%s is in %d subsets, %.1f in the mean", id, count, mean)
+			t.Errorf("%s is in %d subsets; the mean is %.1f", id, count, mean)
 		}
 	}
 	if len(covered) != servers {
@@ -75,10 +79,10 @@
 	}
 }
 
-// A server that starts or leaves changes a subset by no more than two servers.
+// When a server starts or leaves, at most two servers may join a subset.
 func TestSubsetsAreStable(t *testing.T) {
 	const instances, servers = 300, 1280
-	b := subsetBalancer(t, 123, instances, servers, 128)
+	b := newSubsetBalancer(t, 123, instances, servers, 128)
 	members := func() map[string]bool {
 		all, from := map[string]bool{}, b.drawSubset()
 		for index := range from.size {
@@ -92,7 +96,8 @@
 		if i%2 == 1 {
 			entry = ServerEntry{ID: fmt.Sprint("new", i)}
 		}
-		b.Handle(time.Hour+time.Duration(i)*time.Second, ListUpdate{Kind: ListDelta, Entries: []ServerEntry{entry}}, nil)
+		b.Handle(time.Hour+time.Duration(i)*time.Second,
+			ListUpdate{Kind: ListDelta, Entries: []ServerEntry{entry}}, nil)
 		joined := 0
 		for id := range members() {
 			if !before[id] {
@@ -105,15 +110,15 @@
 	}
 }
 
-// A request that may go to no server of the subset is drawn from the whole fleet.
-func TestDrawsBeyondTheSubsetWhereItHasNoneForARequest(t *testing.T) {
-	b := subsetBalancer(t, 5, 300, 1280, 128)
+// If no server of the subset is allowed for a request, it draws from all ready servers.
+func TestDrawsOutsideSubsetIfItHasNoAllowedServer(t *testing.T) {
+	b := newSubsetBalancer(t, 5, 300, 1280, 128)
 	from := b.drawSubset()
 	r := &request{class: &Class{}}
 	for index := range from.size {
 		r.excludedServers = append(r.excludedServers, b.servers.ring[(from.start+index)%len(b.servers.ring)])
 	}
 	if s := b.drawServer(r); s == nil {
-		t.Error("no server drawn")
+		t.Error("no server was drawn from outside the subset")
 	}
 }
--- a/balance/time_test.go
+++ b/balance/time_test.go
@@ -9,23 +9,25 @@
 
 func TestLogIsThrottled(t *testing.T) {
 	d := newDriver(t, testSettings())
-	var lines []Log
-	for i := range 40 { // no server for 20 seconds
+	var entries []Log
+	for i := range 40 { // no server is available for 20 s
 		d.sendRequest(fmt.Sprint("r", i))
-		lines = append(lines, actionsOf[Log](d.runFor(500*ms))...)
+		entries = append(entries, actionsOf[Log](d.runFor(500*ms))...)
 	}
-	if len(lines) < 1 || len(lines) > 2 {
-		t.Errorf("%d lines in 20 seconds, want 1 or 2: %v", len(lines), lines)
+	if len(entries) < 1 || len(entries) > 2 {
+		t.Errorf("%d log entries in 20 s, want 1 or 2: %v", len(entries), entries)
 	}
-	for _, line := range lines {
-		if !strings.HasPrefix(line.Text, "congestion: ") || line.Message != "admission paused by congestion" ||
-			len(line.Attributes) != 2 || line.Attributes[1].Key != "failure_rate" {
-			t.Errorf("%+v", line)
+	for _, entry := range entries {
+		if !strings.HasPrefix(entry.Text, "congestion: ") ||
+			entry.Message != "admission paused by congestion" ||
+			len(entry.Attributes) != 2 || entry.Attributes[1].Key != "failure_rate" {
+			t.Errorf("%+v", entry)
 		}
 	}
 }
 
-// An hour back, counters that decay over seconds grew beyond all numbers.
+// Regression test: when the clock stepped back by an hour, counters that decay within seconds grew without
+// bound.
 func TestClockSteppingBack(t *testing.T) {
 	d := newDriver(t, testSettings(), "a", "b")
 	d.now = 10 * time.Hour
@@ -41,24 +43,26 @@
 	d.now += 2 * time.Hour
 	for i := range 20 {
 		if _, server := d.placeRequest(fmt.Sprint("q", i), loads); server == "" {
-			t.Fatal("nothing is placed any more")
+			t.Fatal("request was not placed after the clock stepped back")
 		}
 		d.now += 100 * ms
 	}
 	for _, s := range d.balancer.servers.ready {
 		load, share := d.balancer.estimatedLoad(s), d.balancer.drawShare(&request{}, s)
 		if !(load < 1) || !(share > 0.05) {
-			t.Errorf("%s is at %v and keeps %v of its draws", s.ID, load, share)
+			t.Errorf("server %s has an estimated load of %v and keeps %v of its draws", s.ID, load, share)
 		}
 	}
 }
 
-// After silence of hours nothing is left of the usual rates, and nothing is missed.
-func TestPlacesAfterHoursOfSilence(t *testing.T) {
+// After hours without requests, the estimates of the usual rates have decayed to nothing. Requests must still
+// be placed then.
+func TestPlacesAfterHoursWithoutRequests(t *testing.T) {
 	d := newDriver(t, testSettings())
 	placed := 0
-	// follow answers all that the actions ask for; connections end as they stand.
-	follow := func(actions []Action) {
+	// carryOut answers all probes and establishes all attempts, including those that result. Each connection
+	// ends as soon as it is established.
+	carryOut := func(actions []Action) {
 		for len(actions) > 0 {
 			var next []Action
 			for _, p := range actionsOf[Probe](actions) {
@@ -77,16 +81,18 @@
 		placed = 0
 		for i := range 40 {
 			id := fmt.Sprint(round, " ", i)
-			follow(d.handle(Request{ID: id, Class: "c", Reconnecting: true, Deadline: d.now + 2*time.Second}))
+			carryOut(d.handle(Request{
+				ID: id, Class: "c", Reconnecting: true, Deadline: d.now + 2*time.Second}))
 			for range 50 {
-				follow(d.runFor(10 * ms))
+				carryOut(d.runFor(10 * ms))
 			}
 		}
 		if placed < 10 {
-			t.Errorf("round %d: %d of 40 reconnecting clients placed at a fleet that is cold and empty", round, placed)
+			t.Errorf("round %d: %d of 40 reconnecting clients placed in a cold, empty fleet, want 10 or more",
+				round, placed)
 		}
-		for range 300 { // what still waits is placed or rejected
-			follow(d.runFor(10 * ms))
+		for range 300 { // until the waiting requests have been placed or rejected
+			carryOut(d.runFor(10 * ms))
 		}
 		d.runFor(200 * time.Second)
 		d.now += 5 * time.Hour
--- a/balance/zone_driver_test.go
+++ b/balance/zone_driver_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// newZoneDriver returns a driver with a server in each of the zones a to d, all nearly empty.
+// newZoneDriver returns a driver with one server in each of the zones a to d: a1, b1, c1 and d1.
 func newZoneDriver(t *testing.T, settings Settings) *driver {
 	d := newDriver(t, settings)
-	var list []ServerEntry
+	var entries []ServerEntry
 	for _, zone := range []string{"a", "b", "c", "d"} {
-		list = append(list, ServerEntry{ID: zone + "1", Zone: zone})
+		entries = append(entries, ServerEntry{ID: zone + "1", Zone: zone})
 	}
-	d.updateList(ListFull, list...)
+	d.updateList(ListFull, entries...)
 	return d
 }
 
-// onlyZones is a constraint to some zones.
+// onlyZones returns a constraint that permits only the given zones.
 func onlyZones(zones ...string) *ZoneConstraint {
 	constraint := &ZoneConstraint{Name: "route"}
 	for _, zone := range zones {
@@ -26,8 +26,8 @@
 	return constraint
 }
 
-// place sends a request and answers all probes, and returns where it was sent; "" and the
-// actions if it was not.
+// place sends a request and answers its probes with a load of almost 0. It returns the server of the attempt,
+// or "" and the actions if no attempt was made.
 func (d *driver) place(request Request) (string, []Action) {
 	d.now += 5 * ms
 	request.ID, request.Class, request.Deadline = fmt.Sprint("r", d.now), "c", d.now+2*time.Second
@@ -38,25 +38,25 @@
 	return "", actions
 }
 
-// placeMany places n requests and returns how many each server got, and under "" how many were
-// rejected at once with a Retry-After.
+// placeMany places n requests and returns how many each server received, and under "" how many were rejected
+// at once with a Retry-After.
 func (d *driver) placeMany(request Request, n int) map[string]int {
 	d.t.Helper()
-	got := map[string]int{}
+	counts := map[string]int{}
 	for range n {
 		server, actions := d.place(request)
-		got[server]++
+		counts[server]++
 		if server != "" {
 			continue
 		}
-		if rejected := actionsOf[Reject](actions); len(rejected) != 1 || rejected[0].RetryAfter == 0 {
-			d.t.Fatalf("%v, want one rejection with a Retry-After", actions)
+		if rejects := actionsOf[Reject](actions); len(rejects) != 1 || rejects[0].RetryAfter == 0 {
+			d.t.Fatalf("got %v, want one rejection with a Retry-After", actions)
 		}
 	}
-	return got
+	return counts
 }
 
-// leaseQuota hands over a lease for a minute.
+// leaseQuota grants a quota lease for one minute, in period 1 unless the lease names a later one.
 func (d *driver) leaseQuota(lease QuotaLease) []Action {
 	lease.Period = max(lease.Period, 1)
 	lease.LeaseDuration = time.Minute
@@ -64,7 +64,7 @@
 	return d.handle(lease)
 }
 
-// closedZones returns quotas that close zones.
+// closedZones returns quotas that permit no attempt in the given zones.
 func closedZones(zones ...string) []ZoneQuota {
 	var quotas []ZoneQuota
 	for _, zone := range zones {
