--- a/cmd/coralagent/guards.go
+++ b/cmd/coralagent/guards.go
@@ -9,10 +9,11 @@
 	"coralrelay/internal/mutation"
 )
 
-// The functions of this file return the guards that a scenario's mutation disables. In
-// builds without the tag mutation all guards are in force.
+// The functions of this file return the guards that the selected mutation disables; a field
+// that is true disables its guard. Without the build tag mutation, all fields are false and all
+// guards are in force.
 
-func quotaGuards() quota.Guards {
+func disabledQuotaGuards() quota.Guards {
 	return quota.Guards{
 		RankedAllocation: mutation.Enabled("ranks"),
 		LeaseExpiry:      mutation.Enabled("expire"),
@@ -21,7 +22,7 @@
 	}
 }
 
-func zoneGuards() zonestatus.Guards {
+func disabledZoneGuards() zonestatus.Guards {
 	return zonestatus.Guards{
 		PanicThreshold:       mutation.Enabled("panic"),
 		RecoveryRamp:         mutation.Enabled("return"),
@@ -32,7 +33,7 @@
 	}
 }
 
-func sloGuards() slo.Guards {
+func disabledSLOGuards() slo.Guards {
 	return slo.Guards{
 		GradualMoves:   mutation.Enabled("greedy"),
 		Confidence:     mutation.Enabled("confidence"),
@@ -43,7 +44,7 @@
 	}
 }
 
-func accountChecks() account.DisabledChecks {
+func disabledAccountChecks() account.DisabledChecks {
 	return account.DisabledChecks{
 		ParentLimit:       mutation.Enabled("parent"),
 		GrantSubtree:      mutation.Enabled("subtree"),
--- a/cmd/coralagent/main.go
+++ b/cmd/coralagent/main.go
@@ -1,9 +1,9 @@
-// Command coralagent is the agent beside one node: it gossips with the agents of the other
-// nodes and tells its node what it may spend of what the whole fleet keeps.
+// Command coralagent is the agent of one node: it exchanges reports with the agents of the other
+// nodes by gossip and tells its node the node's share of the fleet-wide limits.
 //
-// Goroutines: the gossip member runs on the main one; the replica, the agent and its API
-// have one each. They end when a signal arrives, or when the gossip or the API fails, and
-// run returns after all of them.
+// The gossip member runs on the main goroutine; the replica, the agent and the agent's API run
+// on one goroutine each. All of them end when a signal arrives, or when the gossip member or the
+// API fails. The method run returns after all of them have ended.
 package main
 
 import (
@@ -26,17 +26,17 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// component is the attribute of the command's log lines.
+// component is the value of the attribute "component" in the log lines of this command.
 const component = "agent"
 
-// command has the flags: kong makes their names from the fields' names.
+// command holds the command-line flags; kong derives their names from the field names.
 type command struct {
 	Config      string        `required:"" placeholder:"FILE" help:"The operator's own file, CUE or JSON, that the node has too."`
 	ClockOffset time.Duration `hidden:"" help:"How far this agent's clock is ahead of the machine's, for rehearsals."`
 }
 
-const description = "The agent beside one node, through which nodes share limits and verdicts. " +
-	"docs/operate/fleet-limits.md has its keys."
+const description = "The agent beside one node, through which nodes share limits and outlier reports. " +
+	"docs/operate/fleet-limits.md describes its configuration keys."
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -50,7 +50,7 @@
 	}
 }
 
-// run serves until ctx ends.
+// run runs the agent until ctx ends, or until the gossip member or the API fails.
 func (c *command) run(ctx context.Context) error {
 	fleet, err := c.loadConfig()
 	if err != nil {
@@ -68,30 +68,31 @@
 	options := c.agentOptions(fleet, member)
 	if fleet.ReplicatedLog.IsEnabled() {
 		if err := startReplica(ctx, &goroutines, fleet, &options); err != nil {
-			// The node beside this agent is served all the same.
+			// The agent serves its node without the replicated log.
 			slog.Error("replicated log unavailable, the agent acts on its node's observations",
 				"component", component, "error", err)
 			options.NoLogReason = err.Error()
 		}
 	}
-	a := agent.New(options)
-	goroutines.Go(func() { a.Run(ctx) })
-	served := make(chan error, 1)
+	nodeAgent := agent.New(options)
+	goroutines.Go(func() { nodeAgent.Run(ctx) })
+	serveResult := make(chan error, 1)
 	go func() {
-		defer cancel() // without the API the node can't ask
-		served <- agentapi.Serve(ctx, listener, a)
+		defer cancel() // without the API the node can't reach the agent
+		serveResult <- agentapi.Serve(ctx, listener, nodeAgent)
 	}()
 	slog.Info("serving", "component", component, "name", fleet.Name, "gossip_address", fleet.Bind,
-		"api_address", fleet.AgentAddr, "replicated_log", fleet.ReplicatedLog.IsEnabled(), "zones", fleet.Zones.Enabled)
+		"api_address", fleet.AgentAddr, "replicated_log", fleet.ReplicatedLog.IsEnabled(),
+		"zones", fleet.Zones.Enabled)
 	err = member.Run(ctx, gossipConfig(fleet))
 	cancel()
-	if serveErr := <-served; err == nil {
+	if serveErr := <-serveResult; err == nil {
 		err = serveErr
 	}
 	return err
 }
 
-// loadConfig reads the operator's file and sets logging up as it says.
+// loadConfig reads the operator's file, sets up logging accordingly and returns the fleet's configuration.
 func (c *command) loadConfig() (operatorconfig.Fleet, error) {
 	config, err := operatorconfig.Load(c.Config)
 	if err != nil {
@@ -103,21 +104,22 @@
 	}
 	if config.Fleet.AgentAddr == "" {
 		return operatorconfig.Fleet{}, operatorconfig.KeyError{
-			Key: "fleet.agent", Found: `""`, Allowed: "HOST:PORT, where the node asks"}
+			Key: "fleet.agent", Found: `""`, Allowed: "HOST:PORT, at which the node reaches the agent"}
 	}
 	return config.Fleet, nil
 }
 
-// processStart is where this process's clock is anchored.
+// processStart is the reference time of the method clock.
 var processStart = time.Now()
 
-// clock returns Unix time, as this agent has it: it goes on evenly when the wall clock steps, since
-// leases, ages and epochs are spans of real time.
+// clock returns this agent's Unix time, which includes ClockOffset. It advances with the monotonic
+// clock, so that steps of the wall clock do not affect leases, ages and epochs, which measure
+// elapsed time.
 func (c *command) clock() time.Duration {
 	return time.Duration(processStart.UnixNano()) + time.Since(processStart) + c.ClockOffset
 }
 
-// agentOptions returns the agent's options without a replicated log.
+// agentOptions returns the agent's options; startReplica adds the replicated log.
 func (c *command) agentOptions(fleet operatorconfig.Fleet, member *gossip.Member) agent.Options {
 	options := agent.Options{
 		Name:           fleet.Name,
@@ -128,7 +130,7 @@
 		Clock:          c.clock,
 		ClockOffset:    c.ClockOffset,
 		AlwaysIsolated: mutation.Enabled("together"),
-		ZoneGuards:     zoneGuards(),
+		ZoneGuards:     disabledZoneGuards(),
 		SLO:            sloOptions(fleet),
 	}
 	if fleet.Zones.Enabled {
--- a/cmd/coralagent/member.go
+++ b/cmd/coralagent/member.go
@@ -9,7 +9,7 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// newMember returns this agent's member of the gossip, which does not run yet.
+// newMember returns this agent's gossip member, which does not gossip until its method Run is called.
 func newMember(fleet operatorconfig.Fleet, clock func() time.Duration) *gossip.Member {
 	config := quota.Config{
 		Epoch:              fleet.QuotaPeriod.Duration,
@@ -18,7 +18,7 @@
 		RetryRatio:         fleet.RetryRatio,
 		MaxOutlierFraction: fleet.MaxEjectedShare,
 	}
-	member := gossip.NewMember(fleet.Name, config, quotaGuards(), clock)
+	member := gossip.NewMember(fleet.Name, config, disabledQuotaGuards(), clock)
 	member.Zone = fleet.Zone
 	if fleet.ReplicatedLog.IsEnabled() {
 		member.ReplogAddress = fleet.ReplicatedLog.AdvertisedAddr()
@@ -26,7 +26,7 @@
 	return member
 }
 
-// gossipConfig returns where and how the member gossips.
+// gossipConfig returns the gossip member's addresses, peers, encryption key file and interval.
 func gossipConfig(fleet operatorconfig.Fleet) gossip.Config {
 	return gossip.Config{
 		BindAddress:      fleet.Bind,
--- a/cmd/coralagent/slo.go
+++ b/cmd/coralagent/slo.go
@@ -5,7 +5,7 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// sloOptions returns this agent's part in keeping objectives; nil where none are kept.
+// sloOptions returns the agent's options for service level objectives, or nil if these are disabled.
 func sloOptions(fleet operatorconfig.Fleet) *agent.SLOOptions {
 	if !fleet.SLO.Enabled {
 		return nil
@@ -15,7 +15,7 @@
 		TimeScale:  fleet.SLO.TimeScale,
 		ScaledTime: fleet.SLO.ScaledTime,
 		Zones:      fleet.Zones.Config(),
-		Guards:     sloGuards(),
+		Guards:     disabledSLOGuards(),
 	}
 	for _, voter := range fleet.ReplicatedLog.Voters {
 		options.Voters = append(options.Voters, voter.Name)
