--- a/cmd/coralctl/account.go
+++ b/cmd/coralctl/account.go
@@ -27,7 +27,11 @@
 }
 
 func (c *accountCreateCmd) Run() error {
-	return c.submitOps(account.Op{Kind: account.CreateAccount, Path: c.Path, Node: c.withOverrides(account.Node{})})
+	return c.submitOps(account.Op{
+		Kind: account.CreateAccount,
+		Path: c.Path,
+		Node: c.withOverrides(account.Node{}),
+	})
 }
 
 type accountCreateTeamCmd struct {
@@ -37,7 +41,11 @@
 }
 
 func (c *accountCreateTeamCmd) Run() error {
-	return c.submitOps(account.Op{Kind: account.CreateTeam, Path: c.Path, Node: c.withOverrides(account.Node{})})
+	return c.submitOps(account.Op{
+		Kind: account.CreateTeam,
+		Path: c.Path,
+		Node: c.withOverrides(account.Node{}),
+	})
 }
 
 type accountSetLimitsCmd struct {
--- a/cmd/coralctl/account_test.go
+++ b/cmd/coralctl/account_test.go
@@ -15,13 +15,13 @@
 	"coralrelay/internal/keyfile"
 )
 
-// operator runs commands through one agent, with keys that are files of one folder.
+// operator runs commands against one agent, with signing keys from one directory.
 type operator struct {
-	agent string // its address
-	dir   string
+	agent string // address, HOST:PORT
+	dir   string // holds the key files
 }
 
-// createKey makes a key and returns its public half.
+// createKey creates a signing key in dir and returns its public key.
 func createKey(t *testing.T, dir, name string) ed25519.PublicKey {
 	t.Helper()
 	_, publicKey, err := keyfile.CreateAuthority(dir, name)
@@ -31,7 +31,7 @@
 	return publicKey
 }
 
-// run runs a command that a key signs.
+// run parses and runs a command; key is the name of the file with the signing key.
 func (o *operator) run(t *testing.T, command, key string) error {
 	t.Helper()
 	var commands struct {
@@ -42,7 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	args := append(strings.Fields(command), "--agent", o.agent, "--key", filepath.Join(o.dir, key), "--why", "a test")
+	args := append(strings.Fields(command),
+		"--agent", o.agent, "--key", filepath.Join(o.dir, key), "--why", "a test")
 	parsed, err := parser.Parse(args)
 	if err != nil {
 		return err
@@ -63,7 +64,7 @@
 	for _, step := range []struct {
 		command   string
 		key       string
-		wantError string // a part of its text; "" for none
+		wantError string // substring of the error; "" if the command succeeds
 	}{
 		{"account found acme --open=100 --rate=50 --retries=5 --probes=5 --routes=10 --teams=2 --zones=a,b", "root", ""},
 		{"account team acme/web --open=60 --rate=50 --routes=5 --zones=c", "root",
@@ -95,7 +96,7 @@
 	)
 }
 
-// checkPrinted checks that the lists of accounts and of acme's routes have these lines.
+// checkPrinted checks that the printed lists of accounts and of acme's routes contain wantLines.
 func (o *operator) checkPrinted(t *testing.T, wantLines ...string) {
 	t.Helper()
 	accounts, err := fetchAccounts(o.agent)
--- a/cmd/coralctl/accountlist.go
+++ b/cmd/coralctl/accountlist.go
@@ -17,7 +17,7 @@
 	return printAccounts(os.Stdout, accounts)
 }
 
-// printAccounts prints the accounts and teams, and below them the grants.
+// printAccounts prints a table of the accounts and teams, followed by a table of the grants.
 func printAccounts(out io.Writer, accounts account.State) error {
 	rows := newTable(out)
 	rows.printf("version %d\n\n", accounts.Version)
--- a/cmd/coralctl/agent.go
+++ b/cmd/coralctl/agent.go
@@ -8,15 +8,15 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// The methods of an agent that the commands call.
+// Methods of the agent API that the commands call.
 const (
-	methodState   = "state"   // what the agent knows, for people
-	methodRecord  = "record"  // the replicated log's state
-	methodCheck   = "check"   // whether an entry would be accepted
-	methodPropose = "propose" // append an entry to the log
+	methodState   = "state"   // returns the agent's view of the fleet, an agentapi.State
+	methodRecord  = "record"  // returns the state of the replicated log
+	methodCheck   = "check"   // reports whether an entry would be accepted
+	methodPropose = "propose" // appends an entry to the replicated log
 )
 
-// agentFlags say which agent is asked.
+// agentFlags select the agent that a command calls.
 type agentFlags struct {
 	Agent  string `placeholder:"HOST:PORT" xor:"agent" required:"" help:"Where the agent answers, as fleet.agent has it."`
 	Config string `placeholder:"FILE" xor:"agent" required:"" help:"The operator's file whose fleet.agent is asked."`
@@ -38,7 +38,7 @@
 	return config.Fleet.AgentAddr, err
 }
 
-// fetchAccounts asks the agent at the address for the tree of accounts as it knows it.
+// fetchAccounts returns the accounts of the replicated log, as the agent at the address has them.
 func fetchAccounts(address string) (account.State, error) {
 	var logState struct {
 		Accounts account.State `json:"accounts"`
@@ -47,7 +47,7 @@
 	return logState.Accounts, err
 }
 
-// fetchAccounts asks the agent that the flags name.
+// fetchAccounts returns the accounts as the agent that the flags select has them.
 func (f *agentFlags) fetchAccounts() (account.State, error) {
 	address, err := f.address()
 	if err != nil {
--- a/cmd/coralctl/config.go
+++ b/cmd/coralctl/config.go
@@ -7,13 +7,13 @@
 	"coralrelay/internal/operatorconfig/schema"
 )
 
-// configFileArg is the argument that names an operator's file.
+// configFileArg is the positional argument that names an operator's file.
 type configFileArg struct {
 	File string `arg:"" help:"The operator's file, CUE or JSON."`
 }
 
-// exportJSON returns the file as complete JSON. A file that can't be read is an
-// *os.PathError, one that is not valid an error that names line and key.
+// exportJSON returns the file as complete JSON. The error is an *os.PathError if the file can't be
+// read, and names the line and the key if the file is invalid.
 func (a *configFileArg) exportJSON() ([]byte, error) {
 	source, err := os.ReadFile(a.File)
 	if err != nil {
--- a/cmd/coralctl/fakeagent_test.go
+++ b/cmd/coralctl/fakeagent_test.go
@@ -11,14 +11,14 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// fakeAgent is an agent whose log is in memory.
+// fakeAgent is an agentapi.Agent that keeps the state of the replicated log in memory.
 type fakeAgent struct {
 	mu       sync.Mutex
 	logState *logentry.State
 }
 
-// startFakeAgent serves an agent whose accounts have the root key, until the test ends. It
-// returns the agent's address.
+// startFakeAgent serves a fakeAgent, whose accounts have the given root key, until the test ends,
+// and returns its address.
 func startFakeAgent(t *testing.T, rootKey ed25519.PublicKey) string {
 	t.Helper()
 	logState, err := logentry.NewState(logentry.Genesis{RootKey: rootKey})
@@ -29,20 +29,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := make(chan error)
-	go func() { served <- agentapi.Serve(t.Context(), listener, &fakeAgent{logState: logState}) }()
+	serveResult := make(chan error)
+	go func() { serveResult <- agentapi.Serve(t.Context(), listener, &fakeAgent{logState: logState}) }()
 	t.Cleanup(func() {
-		if err := <-served; err != nil {
+		if err := <-serveResult; err != nil {
 			t.Error(err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// HandleReport answers nothing: no node reports to a fakeAgent.
+// HandleReport returns an empty response: no node reports to a fakeAgent.
 func (a *fakeAgent) HandleReport(agentapi.Report) (response agentapi.Response) { return response }
 
-// HandleOperator applies a proposed entry to the state, and checks one without doing so.
+// HandleOperator returns the state, applies a proposed entry to it, or checks an entry against it.
 func (a *fakeAgent) HandleOperator(_ context.Context, request agentapi.OperatorRequest) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cmd/coralctl/fleet.go
+++ b/cmd/coralctl/fleet.go
@@ -9,7 +9,7 @@
 	"coralrelay/internal/fleet/agentapi"
 )
 
-// logOn is what an agent says of the replicated log when it keeps it.
+// logOn is the value of State.Log of an agent that has a replica of the log.
 const logOn = "on"
 
 type fleetCmd struct {
@@ -30,8 +30,8 @@
 	return printState(os.Stdout, &state, time.Now())
 }
 
-// printState prints the member and its log, the zones and the members, a blank line between
-// them.
+// printState prints the member with its replicated log, the zones and the members, separated by
+// blank lines.
 func printState(out io.Writer, state *agentapi.State, now time.Time) error {
 	rows := newTable(out)
 	printMember(rows, state)
@@ -53,7 +53,7 @@
 		rows.printf("disk\t%s\n", orDefault(state.DiskError, "good"))
 	}
 	if state.RejectedShare > 0 {
-		rows.printf("refused\t%.0f %% of first arrivals: the zones that stay can't carry them\n",
+		rows.printf("refused\t%.0f %% of first arrivals: the remaining zones lack the capacity for them\n",
 			100*state.RejectedShare)
 	}
 }
@@ -64,7 +64,7 @@
 	case state.LastContactMillis < 0:
 		return "never: " + fallback
 	case !state.WithinLease:
-		return fmt.Sprintf("%d ms ago: too long, %s", state.LastContactMillis, fallback)
+		return fmt.Sprintf("%d ms ago, the lease has expired: %s", state.LastContactMillis, fallback)
 	}
 	return fmt.Sprintf("%d ms ago", state.LastContactMillis)
 }
@@ -90,7 +90,8 @@
 func printMembers(rows *table, members []agentapi.Member, now time.Time) {
 	rows.printf("MEMBER\tZONE\tSTATUS\tINDEX\tLAST WORD\n")
 	for _, member := range members {
-		rows.printf("%s\t%s\t%s\t%d\t%s\n", member.Name, orDefault(member.Zone, "-"), member.Status, member.Index,
+		rows.printf("%s\t%s\t%s\t%d\t%s\n",
+			member.Name, orDefault(member.Zone, "-"), member.Status, member.Index,
 			formatRelative(now, member.ReportedAtMillis))
 	}
 }
--- a/cmd/coralctl/limitflags.go
+++ b/cmd/coralctl/limitflags.go
@@ -6,11 +6,11 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// inheritAll stands for a parent's whole list of zones, tenants or classes.
+// inheritAll is the flag value that stands for all zones, tenants or classes of the parent.
 const inheritAll = "all"
 
-// limitFlags are the limits of an account, a team or a route. One that is not given, nil,
-// stays as it is.
+// limitFlags are the flags for the limits of an account, a team or a route. A flag that is not
+// given is nil and leaves its limit unchanged.
 type limitFlags struct {
 	Connections *float64 `name:"open" help:"Standing connections. All figures: negative for no bound, 0 for nothing; write --open=-1."`
 	SetupRate   *float64 `name:"rate" help:"Set-ups a second."`
@@ -18,7 +18,7 @@
 	ProbeRate   *float64 `name:"probes" help:"Probes a second."`
 }
 
-// applyTo overrides the limits that are given.
+// applyTo sets the limits whose flags are given.
 func (f *limitFlags) applyTo(limits *account.Limits) {
 	override(&limits.Connections, f.Connections)
 	override(&limits.SetupRate, f.SetupRate)
@@ -26,7 +26,8 @@
 	override(&limits.ProbeRate, f.ProbeRate)
 }
 
-// nodeFlags are what an account or a team may have. What is not given stays as it is.
+// nodeFlags are the flags for the attributes of an account or a team. A flag that is not given
+// leaves its attribute unchanged.
 type nodeFlags struct {
 	limitFlags
 	Routes     *int     `help:"Most routes, in the whole subtree."`
@@ -38,7 +39,7 @@
 	Classes    []string `help:"Classes its routes may match; 'all' for the parent's."`
 }
 
-// withOverrides returns the node with what is given put in.
+// withOverrides returns a copy of node with the attributes set whose flags are given.
 func (f *nodeFlags) withOverrides(node account.Node) *account.Node {
 	f.applyTo(&node.Limits)
 	override(&node.Limits.Routes, f.Routes)
@@ -51,17 +52,17 @@
 	return &node
 }
 
-func override[T any](value *T, given *T) {
-	if given != nil {
-		*value = *given
+func override[T any](value *T, flag *T) {
+	if flag != nil {
+		*value = *flag
 	}
 }
 
-func overrideList(list *[]string, given []string) {
+func overrideList(list *[]string, flag []string) {
 	switch {
-	case slices.Equal(given, []string{inheritAll}):
+	case slices.Equal(flag, []string{inheritAll}):
 		*list = nil
-	case len(given) > 0:
-		*list = given
+	case len(flag) > 0:
+		*list = flag
 	}
 }
--- a/cmd/coralctl/main.go
+++ b/cmd/coralctl/main.go
@@ -1,8 +1,8 @@
-// Command coralctl is the operators' command: it checks, explains and exports an operator's
-// file, makes keys, looks into a store and asks an agent.
+// Command coralctl is the command-line tool for operators: it checks, explains and exports an
+// operator's file, creates keys, inspects a store, and queries or changes the fleet through an agent.
 //
-// It has the main goroutine alone. An error goes to standard error as one text; the exit
-// code tells a file or an agent that can't be reached from everything else.
+// It runs on the main goroutine only. An error is printed to standard error; the exit code
+// distinguishes a file or an agent that can't be reached from every other error.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit codes of a command that fails.
+// Exit codes of a failed command.
 const (
 	exitUnreachable = 1 // a file or an agent can't be reached
-	exitUnusable    = 2 // a file or a request can't be used
+	exitInvalid     = 2 // any other error, such as an invalid file or a rejected request
 )
 
 type cli struct {
@@ -38,7 +38,7 @@
 func run() int {
 	var commands cli
 	parsed := kong.Parse(&commands, kong.Name("coralctl"), kong.UsageOnError(),
-		kong.Description("Check operator's files, make keys, look into stores, ask agents."))
+		kong.Description("Check operator's files, create keys, inspect stores and query agents."))
 	err := parsed.Run()
 	if err == nil {
 		return 0
@@ -53,5 +53,5 @@
 	if errors.As(err, &fileError) || errors.As(err, &networkError) {
 		return exitUnreachable
 	}
-	return exitUnusable
+	return exitInvalid
 }
--- a/cmd/coralctl/route.go
+++ b/cmd/coralctl/route.go
@@ -8,7 +8,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// noLimit is a limit that bounds nothing.
+// noLimit is the value of a limit that sets no bound.
 const noLimit = -1
 
 type routeCmd struct {
@@ -48,7 +48,7 @@
 	})
 }
 
-// route returns the route that the flags describe. Limits that are not given bound nothing.
+// route returns the route that the flags describe. A limit whose flag is not given sets no bound.
 func (c *routePutCmd) route() (*account.Route, error) {
 	shares, err := parseZoneShares(c.ZoneShares)
 	if err != nil {
--- a/cmd/coralctl/routelist.go
+++ b/cmd/coralctl/routelist.go
@@ -22,7 +22,7 @@
 	return printRoutes(os.Stdout, accounts, c.Subtree)
 }
 
-// printRoutes prints the routes of a subtree, those of all accounts if it is empty.
+// printRoutes prints the routes of a subtree, or of all accounts if subtree is empty.
 func printRoutes(out io.Writer, accounts account.State, subtree string) error {
 	rows := newTable(out)
 	rows.printf("ROUTE\tMATCHES\tGOES TO\tOPEN\tRATE\tRETRIES\tPROBES\tCONTRACT\n")
--- a/cmd/coralctl/script_test.go
+++ b/cmd/coralctl/script_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { testscript.Main(m, map[string]func(){"coralctl": main}) }
 
-// buildAgent builds the agent's program once and returns the folder that holds it.
+// buildAgent builds coralagent once and returns the directory that contains the binary.
 var buildAgent = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "coralctl-")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return dir, nil
 })
 
-// TestScripts runs the scripts in testdata/script, with the real programs.
+// TestScripts runs the scripts in testdata/script with the real coralctl and coralagent.
 func TestScripts(t *testing.T) {
 	t.Cleanup(func() {
 		if dir, err := buildAgent(); err == nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// setFreeAddresses gives a script the addresses on which its agent listens.
+// setFreeAddresses sets the environment variables with the addresses on which a script's agent listens.
 func setFreeAddresses(env *testscript.Env) error {
 	for _, name := range []string{"AGENT", "GOSSIP", "RECORD"} {
 		address, err := loopback.Reserve()
@@ -65,15 +65,15 @@
 	return nil
 }
 
-// expandEnvironment is the script command "fill FILE": it replaces $NAME in the file by the
-// script's variables.
+// expandEnvironment implements the script command "fill FILE", which expands the script's
+// environment variables in the file.
 func expandEnvironment(ts *testscript.TestScript, _ bool, args []string) {
 	path := ts.MkAbs(args[0])
 	ts.Check(os.WriteFile(path, []byte(os.Expand(ts.ReadFile(path), ts.Getenv)), 0o600))
 }
 
-// startAgent is the script command "agent FILE": it starts coralagent with the operator's
-// file and waits until it answers.
+// startAgent implements the script command "agent FILE", which starts coralagent with the
+// operator's file and waits until the agent answers.
 func startAgent(ts *testscript.TestScript, _ bool, args []string) {
 	dir, err := buildAgent()
 	ts.Check(err)
@@ -101,7 +101,7 @@
 			return
 		}
 		if time.Since(startedAt) > agentStartTimeout {
-			ts.Fatalf("the agent does not answer")
+			ts.Fatalf("the agent did not answer in time")
 		}
 	}
 }
--- a/cmd/coralctl/submit.go
+++ b/cmd/coralctl/submit.go
@@ -13,7 +13,8 @@
 	"coralrelay/internal/keyfile"
 )
 
-// changeFlags say who changes accounts or routes, through which agent and why.
+// changeFlags are the flags of commands that change accounts or routes: the agent, the signing key
+// and the reason.
 type changeFlags struct {
 	agentFlags
 	Key    string `required:"" placeholder:"FILE" help:"The key that signs, made with 'coralctl account key'."`
@@ -21,16 +22,16 @@
 	DryRun bool   `help:"Ask whether it would be taken, and change nothing."`
 }
 
-// opsBuilder returns the operations of a change to the accounts as the agent knows them.
+// opsBuilder returns the operations of a change, given the accounts as the agent has them.
 type opsBuilder func(account.State) ([]account.Op, error)
 
-// submitOps submits operations that are the same whatever the accounts are.
+// submitOps submits operations that do not depend on the current accounts.
 func (f *changeFlags) submitOps(ops ...account.Op) error {
 	return f.submit(func(account.State) ([]account.Op, error) { return ops, nil })
 }
 
-// submit signs a change and has the agent append it to the log, or with --dry-run check
-// it. All its operations take hold together or none does.
+// submit signs a change and sends it to the agent, which appends it to the log or, with --dry-run,
+// only checks it. The operations of a change take effect together or not at all.
 func (f *changeFlags) submit(buildOps opsBuilder) error {
 	privateKey, err := keyfile.LoadAuthority(f.Key)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return json.Marshal(entry)
 }
 
-// sendEntry has the agent propose or check the entry. The error says so if the outcome is
-// not known.
+// sendEntry sends the entry to the agent, which proposes or checks it. If the agent does not know
+// the outcome of a proposal, the error says that the entry may have been accepted.
 func (f *changeFlags) sendEntry(address string, entry []byte) (logentry.Outcome, error) {
 	request := agentapi.OperatorRequest{Method: methodPropose, Entry: entry}
 	if f.DryRun {
@@ -95,7 +96,7 @@
 	return answer.Outcome, err
 }
 
-// reportOutcome prints that a change was accepted; one that was not is an error.
+// reportOutcome prints that a change was accepted, or returns an error if it was rejected.
 func (f *changeFlags) reportOutcome(outcome logentry.Outcome) error {
 	switch {
 	case !outcome.Accepted && f.DryRun:
--- a/cmd/coralctl/table.go
+++ b/cmd/coralctl/table.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// table prints rows of tab-separated columns, which it aligns, two blanks apart. A failed
-// write shows when it is flushed.
+// table writes rows of tab-separated columns, aligned and separated by two spaces. A write error
+// is returned by flush.
 type table struct{ writer *tabwriter.Writer }
 
 func newTable(out io.Writer) *table {
 	return &table{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)}
 }
 
-// printf adds what fmt.Printf would print: a row or several, each with its newline.
+// printf formats one or more rows, each with its newline.
 func (t *table) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(t.writer, format, args...)
 }
 
 func (t *table) flush() error { return t.writer.Flush() }
 
-// limitColumns formats limits as columns; a negative one, which is no limit, is a dash.
+// limitColumns formats limits as columns, with a dash for a negative limit, which sets no bound.
 func limitColumns(limits ...float64) string {
 	columns := make([]string, len(limits))
 	for i, limit := range limits {
@@ -37,15 +37,15 @@
 
 func joinOrDash(names []string) string { return orDefault(strings.Join(names, ","), "-") }
 
-func orDefault(text, otherwise string) string {
+func orDefault(text, defaultText string) string {
 	if text == "" {
-		return otherwise
+		return defaultText
 	}
 	return text
 }
 
-// formatRelative formats a time in Unix milliseconds relative to now; 0, which is no time,
-// is a dash.
+// formatRelative formats a time in Unix milliseconds relative to now, with a dash for 0, which
+// stands for an unset time.
 func formatRelative(now time.Time, unixMillis int64) string {
 	if unixMillis == 0 {
 		return "-"
