--- a/cmd/coralscenario/accounts.go
+++ b/cmd/coralscenario/accounts.go
@@ -9,7 +9,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// accountsCommand runs the scenario of accounts, which the agents' replicated log holds.
+// accountsCommand runs the scenario of concurrent changes to the accounts in the replicated log.
 type accountsCommand struct {
 	runFlags
 	memberFlags
@@ -18,12 +18,12 @@
 	Steps []string `help:"Play these alone, after accounts have been founded: calm, leader, oneway, apart, disk, stall, many."`
 }
 
-// Run is called by kong.
-func (c *accountsCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *accountsCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, accounts.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		if !c.memberFlags.valid() || c.Nodes < c.Voters+2 || !between(c.Zones, 3, 6) || !between(c.Teams, 6, 36) {
-			return nil, errors.New("5 to 15 nodes, 3 or 5 voters and two nodes or more beside them, 3 to 6 zones " +
-				"and 6 to 36 teams are wanted")
+			return nil, errors.New("want 5 to 15 nodes, 3 or 5 voters, at least two nodes more than voters, " +
+				"3 to 6 zones and 6 to 36 teams")
 		}
 		return accounts.Play(ctx, accounts.Options{
 			Seed:     c.Seed,
@@ -32,7 +32,7 @@
 			Zones:    c.Zones,
 			Teams:    c.Teams,
 			Steps:    c.Steps,
-			Binary:   top.Node,
+			Binary:   root.Node,
 			Mutation: c.Mutation,
 			Progress: progress,
 		})
--- a/cmd/coralscenario/flags.go
+++ b/cmd/coralscenario/flags.go
@@ -11,7 +11,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// runFlags are the flags that all checked scenarios have.
+// runFlags are the flags of all scenarios that check rules.
 type runFlags struct {
 	Seed          uint64 `default:"1" help:"The script's seed."`
 	JSON          string `name:"json" placeholder:"FILE" help:"Write the result there."`
@@ -19,23 +19,23 @@
 	ListMutations bool   `help:"Name the guards that can be switched off, and end."`
 }
 
-// memberFlags are the flags of the scenarios whose agents keep a replicated log.
+// memberFlags are the flags of the scenarios whose agents run a replicated log.
 type memberFlags struct {
 	Nodes  int `default:"7" help:"Nodes, each with its agent: 5 to 15."`
 	Voters int `default:"3" help:"Agents that vote on what the replicated log takes: 3 or 5."`
 }
 
-// valid reports whether the counts are within what their help says.
+// valid reports whether the counts are within the ranges that the help of the flags states.
 func (f memberFlags) valid() bool {
 	return between(f.Nodes, 5, 15) && (f.Voters == 3 || f.Voters == 5)
 }
 
-// between reports whether least <= x <= most; it is false for a NaN.
-func between[T int | float64](x, least, most T) bool { return x >= least && x <= most }
+// between reports whether lower <= x <= upper; it returns false if x is NaN.
+func between[T int | float64](x, lower, upper T) bool { return x >= lower && x <= upper }
 
-// runScenario plays a scenario, prints its result and writes the result file; or it only lists
-// the mutations where the flags ask for that. The error is testbed.ErrRulesBroken where the
-// scenario ran and a rule broke.
+// runScenario runs a scenario, prints its result and writes the result file. With --list-mutations
+// it only lists the mutations. It returns testbed.ErrRulesBroken if the scenario ran and a rule
+// broke.
 func (f runFlags) runScenario(ctx context.Context, mutations map[string]string,
 	play func(ctx context.Context, progress io.Writer) (*testbed.Result, error)) error {
 	if f.ListMutations {
@@ -49,15 +49,15 @@
 	return result.Finish(os.Stdout, f.JSON)
 }
 
-// printMutations lists the mutations by name, each with what it takes out.
+// printMutations lists the mutations in the order of their names, each with its effect.
 func printMutations(mutations map[string]string) {
 	for _, name := range slices.Sorted(maps.Keys(mutations)) {
 		fmt.Printf("%-18s %s\n", name, mutations[name])
 	}
 }
 
-// progressWriter returns standard error if it is a terminal, else nil: nobody looks at progress
-// there.
+// progressWriter returns standard error if it is a terminal, and nil otherwise: progress messages
+// are for interactive use only.
 func progressWriter() io.Writer {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
--- a/cmd/coralscenario/fleet.go
+++ b/cmd/coralscenario/fleet.go
@@ -19,11 +19,11 @@
 	WithoutAgents bool     `name:"alone" help:"Nodes have no agents: metrics for comparison."`
 }
 
-// Run is called by kong.
-func (c *fleetCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *fleetCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, fleet.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		if !between(c.Nodes, 5, 9) || !between(c.Servers, 6, 40) || !between(c.Rate, 20, 1000) {
-			return nil, errors.New("5 to 9 nodes, 6 to 40 servers and a rate of 20 to 1000 are wanted")
+			return nil, errors.New("want 5 to 9 nodes, 6 to 40 servers and a rate of 20 to 1000")
 		}
 		return fleet.Play(ctx, fleet.Options{
 			Seed:          c.Seed,
@@ -32,7 +32,7 @@
 			Rate:          c.Rate,
 			WithoutAgents: c.WithoutAgents,
 			Steps:         c.Steps,
-			Binary:        top.Node,
+			Binary:        root.Node,
 			Mutation:      c.Mutation,
 			Progress:      progress,
 		})
--- a/cmd/coralscenario/main.go
+++ b/cmd/coralscenario/main.go
@@ -1,8 +1,9 @@
-// Command coralscenario runs scenarios on loopback: real nodes and agents, fake servers and
-// clients, scripted fault injection, and checks of the rules from the fakes' side.
+// Command coralscenario runs scenarios on the loopback interface: real nodes and agents, fake
+// servers and clients, and scripted fault injection. It checks the rules against what the fake
+// servers and clients observe.
 //
-// It exits with 0 if all rules held, with 1 if a rule broke or a bound was missed, and with 2 if
-// the scenario could not run.
+// The exit code is 0 if all rules held, 1 if a rule broke or a bound was missed, and 2 if the
+// scenario could not run.
 package main
 
 import (
@@ -20,13 +21,13 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// The exit codes.
+// Exit codes of a failed run.
 const (
-	exitRulesBroken  = 1 // a rule broke or a bound was missed
-	exitCouldNotPlay = 2 // wrong flags, or the scenario could not run
+	exitRulesBroken = 1 // a rule broke or a bound was missed
+	exitCouldNotRun = 2 // wrong flags, or the scenario could not run
 )
 
-// commands is the command line.
+// commands holds the global flags and the commands of the command line.
 type commands struct {
 	Node string `placeholder:"FILE" help:"The node's binary; by default the coralrelay beside this program."`
 
@@ -41,48 +42,49 @@
 	UDP        udpCommand        `cmd:"" name:"udp" help:"Send short flows of datagrams through a small table while servers drain and crash."`
 }
 
-// demoCommand shows a node at work; it checks nothing.
+// demoCommand demonstrates a running node; it checks no rules.
 type demoCommand struct {
 	Seconds int `default:"10" help:"How long."`
 }
 
-// Run is called by kong.
-func (c *demoCommand) Run(ctx context.Context, top *commands) error {
-	return demo.Run(ctx, demo.Options{Binary: top.Node, Seconds: c.Seconds, Out: os.Stdout})
+// Run runs the demonstration; kong calls it.
+func (c *demoCommand) Run(ctx context.Context, root *commands) error {
+	return demo.Run(ctx, demo.Options{Binary: root.Node, Seconds: c.Seconds, Out: os.Stdout})
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	slog.SetLogLoggerLevel(slog.LevelError) // members in this process log the faults that the scenario injects
+	// Below this level, members in this process log the faults that the scenario injects.
+	slog.SetLogLoggerLevel(slog.LevelError)
 
-	var line commands
-	parsed := kong.Parse(&line,
+	var root commands
+	parsed := kong.Parse(&root,
 		kong.Name("coralscenario"),
 		kong.UsageOnError(),
 		kong.BindTo(ctx, (*context.Context)(nil)),
-		kong.Description("Play scenarios against real nodes, with fake servers and clients on loopback."),
+		kong.Description("Run scenarios against real nodes, with fake servers and clients on loopback."),
 		kong.Exit(exitOnParse))
-	if line.Node == "" {
+	if root.Node == "" {
 		if self, err := os.Executable(); err == nil {
-			line.Node = testbed.SiblingBinary(self, "coralrelay")
+			root.Node = testbed.SiblingBinary(self, "coralrelay")
 		}
 	}
 
-	switch err := parsed.Run(&line); {
+	switch err := parsed.Run(&root); {
 	case errors.Is(err, testbed.ErrRulesBroken):
 		stop()
 		os.Exit(exitRulesBroken)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "coralscenario:", err)
-		os.Exit(exitCouldNotPlay)
+		os.Exit(exitCouldNotRun)
 	}
 }
 
-// exitOnParse ends the program after help, or after a command line that kong refused.
+// exitOnParse exits after kong has printed the help, or has rejected the command line.
 func exitOnParse(code int) {
 	if code != 0 {
-		code = exitCouldNotPlay
+		code = exitCouldNotRun
 	}
 	os.Exit(code)
 }
--- a/cmd/coralscenario/objectives.go
+++ b/cmd/coralscenario/objectives.go
@@ -9,8 +9,8 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// objectivesCommand runs the scenario of service level objectives; on the command line it is
-// called promises.
+// objectivesCommand runs the scenario of service level objectives. Its name on the command line is
+// "promises".
 type objectivesCommand struct {
 	runFlags
 	memberFlags
@@ -21,13 +21,13 @@
 	SteeredOnly bool     `name:"alone" help:"Play the steered run alone, without an unsteered and a greedy one beside it."`
 }
 
-// Run is called by kong.
-func (c *objectivesCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *objectivesCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, objectives.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		if !c.memberFlags.valid() || !between(c.Zones, 3, 5) || !between(c.Servers, 2*c.Zones, 30) ||
 			!between(c.Rate, 100, 1000) {
-			return nil, errors.New("5 to 15 nodes, 3 or 5 voters, 3 to 5 zones, two servers or more in each, 30 at most, " +
-				"and a rate of 100 to 1000 are wanted")
+			return nil, errors.New("want 5 to 15 nodes, 3 or 5 voters, 3 to 5 zones, " +
+				"at least two servers per zone, at most 30 servers and a rate of 100 to 1000")
 		}
 		return objectives.Play(ctx, objectives.Options{
 			Seed:        c.Seed,
@@ -38,7 +38,7 @@
 			Rate:        c.Rate,
 			Steps:       c.Steps,
 			SteeredOnly: c.SteeredOnly,
-			Binary:      top.Node,
+			Binary:      root.Node,
 			Mutation:    c.Mutation,
 			Progress:    progress,
 		})
--- a/cmd/coralscenario/resume.go
+++ b/cmd/coralscenario/resume.go
@@ -17,8 +17,8 @@
 	Clients int `default:"200" help:"Clients."`
 }
 
-// Run is called by kong.
-func (c *resumeCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *resumeCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, resume.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		return resume.Play(ctx, resume.Options{
 			Seed:     c.Seed,
@@ -26,7 +26,7 @@
 			Nodes:    c.Nodes,
 			Servers:  c.Servers,
 			Clients:  c.Clients,
-			Binary:   top.Node,
+			Binary:   root.Node,
 			Mutation: c.Mutation,
 			Progress: progress,
 		})
--- a/cmd/coralscenario/soak.go
+++ b/cmd/coralscenario/soak.go
@@ -11,7 +11,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// soakCommand runs the soak test.
+// soakCommand runs the soak test. It builds the node from source and ignores the flag --node.
 type soakCommand struct {
 	runFlags
 	Nodes   int           `default:"24" help:"Nodes: 4 to 60."`
@@ -24,12 +24,13 @@
 	Shrink  bool          `help:"If the run breaks a rule, play it again with fewer faults, to find a small trace that breaks it too."`
 }
 
-// Run is called by kong.
+// Run runs the scenario; kong calls it.
 func (c *soakCommand) Run(ctx context.Context, _ *commands) error {
 	return c.runScenario(ctx, soak.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		if !between(c.Nodes, 4, 60) || !between(c.Servers, 8, 120) || !between(c.Faults, 0, 8) ||
 			!between(c.For.Seconds(), 15, 600) {
-			return nil, errors.New("4 to 60 nodes, 8 to 120 servers, 0 to 8 faults at once and 15s to 10m are wanted")
+			return nil, errors.New(
+				"want 4 to 60 nodes, 8 to 120 servers, 0 to 8 faults at once and a duration of 15s to 10m")
 		}
 		options := soak.Options{
 			Seed:     c.Seed,
@@ -49,12 +50,13 @@
 			}
 			options.Trace = trace
 		}
-		return c.playBuilt(ctx, &options)
+		return c.buildAndPlay(ctx, &options)
 	})
 }
 
-// playBuilt builds the node with the seam for system calls, which the deployed build has not, and plays.
-func (c *soakCommand) playBuilt(ctx context.Context, options *soak.Options) (*testbed.Result, error) {
+// buildAndPlay builds the node with the tag mutation, which enables the injection of system call
+// faults that a release build does not contain, and runs the soak test with it.
+func (c *soakCommand) buildAndPlay(ctx context.Context, options *soak.Options) (*testbed.Result, error) {
 	dir, remove, err := testbed.TempDir()
 	if err != nil {
 		return nil, err
--- a/cmd/coralscenario/udp.go
+++ b/cmd/coralscenario/udp.go
@@ -8,7 +8,7 @@
 	"coralrelay/internal/scenario/udp"
 )
 
-// udpCommand runs the scenario of flows of datagrams, or the measurement of their forwarding.
+// udpCommand runs the scenario of UDP flows, or measures the cost of UDP forwarding.
 type udpCommand struct {
 	runFlags
 	Flows   int  `default:"100000" help:"Flows in all."`
@@ -21,8 +21,8 @@
 	Flood   bool `help:"Steady flows beside floods of new ones, in place of many short flows."`
 }
 
-// Run is called by kong.
-func (c *udpCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *udpCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, udp.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		play := udp.Play
 		if c.Speed {
@@ -37,18 +37,19 @@
 			Steady:   max(c.Steady, 1),
 			Shared:   c.Shared,
 			Cores:    c.Cores,
-			Binary:   top.Node,
+			Binary:   root.Node,
 			Mutation: c.Mutation,
 			Progress: progress,
 		})
 	})
 }
 
-// bareCommand runs the loop that UDP forwarding is compared with, in a process of its own.
+// bareCommand runs the bare forwarding loop that udp --speed uses as its baseline, in a separate
+// process.
 type bareCommand struct {
 	Listen string `arg:""`
 	To     string `arg:""`
 }
 
-// Run is called by kong.
+// Run forwards datagrams until ctx ends; kong calls it.
 func (c *bareCommand) Run(ctx context.Context) error { return udp.ForwardBare(ctx, c.Listen, c.To) }
--- a/cmd/coralscenario/zones.go
+++ b/cmd/coralscenario/zones.go
@@ -19,13 +19,13 @@
 	Steps   []string `help:"Play these alone, after members have met: cold, silent, link, half, one, self, disk, leader, lone, two, flap."`
 }
 
-// Run is called by kong.
-func (c *zonesCommand) Run(ctx context.Context, top *commands) error {
+// Run runs the scenario; kong calls it.
+func (c *zonesCommand) Run(ctx context.Context, root *commands) error {
 	return c.runScenario(ctx, zones.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		if !c.memberFlags.valid() || !between(c.Zones, 3, 6) || !between(c.Servers, 2*c.Zones, 40) ||
 			!between(c.Rate, 60, 1000) {
-			return nil, errors.New("5 to 15 nodes, 3 or 5 voters, 3 to 6 zones, two servers or more in each, 40 at most, " +
-				"and a rate of 60 to 1000 are wanted")
+			return nil, errors.New("want 5 to 15 nodes, 3 or 5 voters, 3 to 6 zones, " +
+				"at least two servers per zone, at most 40 servers and a rate of 60 to 1000")
 		}
 		return zones.Play(ctx, zones.Options{
 			Seed:     c.Seed,
@@ -35,7 +35,7 @@
 			Servers:  c.Servers,
 			Rate:     c.Rate,
 			Steps:    c.Steps,
-			Binary:   top.Node,
+			Binary:   root.Node,
 			Mutation: c.Mutation,
 			Progress: progress,
 		})
