--- a/cmd/coralctl/account.go
+++ b/cmd/coralctl/account.go
@@ -8,6 +8,7 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
+// accountCmd implements "account", the commands on accounts, teams, grants and signing keys.
 type accountCmd struct {
 	Key        accountKeyCmd        `cmd:"" help:"Make a key that signs changes, and print its public half."`
 	List       accountListCmd       `cmd:"" help:"List accounts, teams and grants as an agent knows them."`
@@ -20,6 +21,7 @@
 	Apply      accountApplyCmd      `cmd:"" help:"Several operations in one change."`
 }
 
+// accountCreateCmd implements "account found", which creates an account.
 type accountCreateCmd struct {
 	Path string `arg:"" help:"The account's name."`
 	nodeFlags
@@ -34,6 +36,7 @@
 	})
 }
 
+// accountCreateTeamCmd implements "account team", which creates a team.
 type accountCreateTeamCmd struct {
 	Path string `arg:"" help:"Its path, such as acme/web."`
 	nodeFlags
@@ -48,6 +51,8 @@
 	})
 }
 
+// accountSetLimitsCmd implements "account limits", which changes the attributes of an account or
+// a team.
 type accountSetLimitsCmd struct {
 	Path         string `arg:"" help:"An account's or team's path."`
 	ShrinkPolicy string `name:"shrink" enum:",proportion,priority" default:"" help:"How its teams and routes shrink where they hold more than is left: proportion or priority. Without it such a cut is refused."`
@@ -72,6 +77,7 @@
 	})
 }
 
+// accountDeleteCmd implements "account drop", which deletes an account or a team.
 type accountDeleteCmd struct {
 	Path string `arg:"" help:"An account's or team's path."`
 	changeFlags
@@ -81,6 +87,7 @@
 	return c.submitOps(account.Op{Kind: account.DeleteNode, Path: c.Path})
 }
 
+// accountApplyCmd implements "account apply", which submits the operations of a file as one change.
 type accountApplyCmd struct {
 	changeFlags
 	File string `arg:"" help:"JSON: a list of operations as docs/operate/accounts.md has them. All take hold together or none does."`
--- a/cmd/coralctl/accountlist.go
+++ b/cmd/coralctl/accountlist.go
@@ -7,6 +7,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
+// accountListCmd implements "account list", which prints the accounts, teams and grants.
 type accountListCmd struct{ agentFlags }
 
 func (c *accountListCmd) Run() error {
--- a/cmd/coralctl/config.go
+++ b/cmd/coralctl/config.go
@@ -22,6 +22,7 @@
 	return schema.Export(a.File, source)
 }
 
+// checkCmd implements "check", which validates an operator's file.
 type checkCmd struct{ configFileArg }
 
 func (c *checkCmd) Run() error {
@@ -32,6 +33,7 @@
 	return nil
 }
 
+// exportCmd implements "export", which prints an operator's file as complete JSON.
 type exportCmd struct{ configFileArg }
 
 func (c *exportCmd) Run() error {
@@ -43,6 +45,8 @@
 	return nil
 }
 
+// explainCmd implements "explain", which lists the keys of an operator's file with their
+// descriptions.
 type explainCmd struct {
 	Key string `arg:"" optional:"" help:"A key or the beginning of one, such as resume.ledger."`
 }
--- a/cmd/coralctl/fleet.go
+++ b/cmd/coralctl/fleet.go
@@ -12,10 +12,12 @@
 // logOn is the value of State.Log of an agent that has a replica of the log.
 const logOn = "on"
 
+// fleetCmd implements "fleet", the queries to an agent.
 type fleetCmd struct {
 	State fleetStateCmd `cmd:"" help:"What an agent knows of the record, the zones and the members, and what it tells its node."`
 }
 
+// fleetStateCmd implements "fleet state", which prints an agent's view of the fleet.
 type fleetStateCmd struct{ agentFlags }
 
 func (c *fleetStateCmd) Run() error {
--- a/cmd/coralctl/grant.go
+++ b/cmd/coralctl/grant.go
@@ -10,6 +10,7 @@
 	"coralrelay/internal/keyfile"
 )
 
+// accountKeyCmd implements "account key", which creates a key that signs changes.
 type accountKeyCmd struct {
 	File string `arg:"" help:"The file to write; it must not exist."`
 }
@@ -24,6 +25,7 @@
 	return nil
 }
 
+// accountGrantCmd implements "account grant", which gives a key permissions on a subtree.
 type accountGrantCmd struct {
 	Path            string   `arg:"" help:"The top of the subtree."`
 	PublicKey       string   `name:"public" arg:"" help:"The public half of the key, as 'coralctl account key' prints it."`
@@ -46,6 +48,8 @@
 	return c.submitOps(account.Op{Kind: account.CreateGrant, Path: c.Path, Grant: grant})
 }
 
+// accountRevokeCmd implements "account revoke", which revokes a grant and all grants delegated
+// from it.
 type accountRevokeCmd struct {
 	Path string `arg:"" help:"The path that the grant is on."`
 	Name string `arg:"" help:"The key's name, as 'coralctl account list' has it."`
--- a/cmd/coralctl/key.go
+++ b/cmd/coralctl/key.go
@@ -7,11 +7,13 @@
 	"coralrelay/internal/keyfile"
 )
 
+// keyCmd implements "key", the commands on keys for resume tokens.
 type keyCmd struct {
 	New  keyNewCmd  `cmd:"" help:"Make a key for resume tokens."`
 	List keyListCmd `cmd:"" help:"List a folder's keys, not their secrets."`
 }
 
+// keyNewCmd implements "key new", which creates a key for resume tokens.
 type keyNewCmd struct {
 	Folder       string        `name:"folder" arg:"" help:"The folder that resume.keys names."`
 	SigningDelay time.Duration `name:"signs-in" default:"10m" help:"When it begins to sign; the first key does at once. Until then every node must have it and have been sent SIGHUP."`
@@ -29,6 +31,7 @@
 	return nil
 }
 
+// keyListCmd implements "key list", which prints the use of each key without its secret.
 type keyListCmd struct {
 	Folder string `name:"folder" arg:"" help:"The folder that resume.keys names."`
 }
--- a/cmd/coralctl/main.go
+++ b/cmd/coralctl/main.go
@@ -20,6 +20,7 @@
 	exitInvalid     = 2 // any other error, such as an invalid file or a rejected request
 )
 
+// cli holds the commands of the command line.
 type cli struct {
 	Check   checkCmd   `cmd:"" help:"Check an operator's file; exit 2 names file, line, key, what was found and what is allowed."`
 	Explain explainCmd `cmd:"" help:"List the keys of an operator's file, or those below a prefix."`
--- a/cmd/coralctl/route.go
+++ b/cmd/coralctl/route.go
@@ -11,12 +11,14 @@
 // noLimit is the value of a limit that sets no bound.
 const noLimit = -1
 
+// routeCmd implements "route", the commands on routes.
 type routeCmd struct {
 	Put    routePutCmd    `cmd:"" help:"Add a route, or replace it whole."`
 	Delete routeDeleteCmd `name:"drop" cmd:"" help:"Take a route away."`
 	List   routeListCmd   `cmd:"" help:"List routes in the order in which they are looked at, as an agent knows them."`
 }
 
+// routePutCmd implements "route put", which creates or replaces a route.
 type routePutCmd struct {
 	Owner      string   `arg:"" help:"Path of the account or team, such as acme/web."`
 	Name       string   `arg:"" help:"The route's name."`
@@ -88,6 +90,7 @@
 	return shares, nil
 }
 
+// routeDeleteCmd implements "route drop", which deletes a route.
 type routeDeleteCmd struct {
 	Owner string `arg:"" help:"Path of the account or team."`
 	Name  string `arg:"" help:"The route's name."`
--- a/cmd/coralctl/routelist.go
+++ b/cmd/coralctl/routelist.go
@@ -9,6 +9,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
+// routeListCmd implements "route list", which prints routes in the order of their precedence.
 type routeListCmd struct {
 	agentFlags
 	Subtree string `name:"below" help:"Only those of a subtree."`
--- a/cmd/coralctl/store.go
+++ b/cmd/coralctl/store.go
@@ -9,10 +9,13 @@
 	"coralrelay/internal/store"
 )
 
+// storeCmd implements "store", the commands on store files.
 type storeCmd struct {
 	ReplayGuard storeReplayGuardCmd `cmd:"" name:"ledger" help:"Show a ledger of spent tokens."`
 }
 
+// storeReplayGuardCmd implements "store ledger", which prints the number of spent resume tokens
+// in a replay guard's file.
 type storeReplayGuardCmd struct {
 	File string `arg:"" help:"The ledger's file, ledger.db."`
 }
