--- a/cmd/coralctl/accountlist.go
+++ b/cmd/coralctl/accountlist.go
@@ -7,6 +7,7 @@
 	"coralrelay/internal/fleet/account"
 )
 
+// accountListCmd implements "account list", which prints the accounts, teams and grants.
 type accountListCmd struct{ agentFlags }
 
 func (c *accountListCmd) Run() error {
@@ -17,7 +18,7 @@
 	return printAccounts(os.Stdout, accounts)
 }
 
-// printAccounts prints the accounts and teams, and below them the grants.
+// printAccounts prints a table of the accounts and teams, followed by a table of the grants.
 func printAccounts(out io.Writer, accounts account.State) error {
 	rows := newTable(out)
 	rows.printf("version %d\n\n", accounts.Version)
--- a/cmd/coralctl/config.go
+++ b/cmd/coralctl/config.go
@@ -7,13 +7,13 @@
 	"coralrelay/internal/operatorconfig/schema"
 )
 
-// configFileArg is the argument that names an operator's file.
+// configFileArg is the positional argument that names an operator's file.
 type configFileArg struct {
 	File string `arg:"" help:"The operator's file, CUE or JSON."`
 }
 
-// exportJSON returns the file as complete JSON. A file that can't be read is an
-// *os.PathError, one that is not valid an error that names line and key.
+// exportJSON returns the file as complete JSON. The error is an *os.PathError if the file can't be
+// read, and names the line and the key if the file is invalid.
 func (a *configFileArg) exportJSON() ([]byte, error) {
 	source, err := os.ReadFile(a.File)
 	if err != nil {
@@ -22,6 +22,7 @@
 	return schema.Export(a.File, source)
 }
 
+// checkCmd implements "check", which validates an operator's file.
 type checkCmd struct{ configFileArg }
 
 func (c *checkCmd) Run() error {
@@ -32,6 +33,7 @@
 	return nil
 }
 
+// exportCmd implements "export", which prints an operator's file as complete JSON.
 type exportCmd struct{ configFileArg }
 
 func (c *exportCmd) Run() error {
@@ -43,6 +45,8 @@
 	return nil
 }
 
+// explainCmd implements "explain", which lists the keys of an operator's file with their
+// descriptions.
 type explainCmd struct {
 	Key string `arg:"" optional:"" help:"A key or the beginning of one, such as resume.ledger."`
 }
--- a/cmd/coralctl/route.go
+++ b/cmd/coralctl/route.go
@@ -8,15 +8,17 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// noLimit is a limit that bounds nothing.
+// noLimit is the value of a limit that sets no bound.
 const noLimit = -1
 
+// routeCmd implements "route", the commands on routes.
 type routeCmd struct {
 	Put    routePutCmd    `cmd:"" help:"Add a route, or replace it whole."`
 	Delete routeDeleteCmd `name:"drop" cmd:"" help:"Take a route away."`
 	List   routeListCmd   `cmd:"" help:"List routes in the order in which they are looked at, as an agent knows them."`
 }
 
+// routePutCmd implements "route put", which creates or replaces a route.
 type routePutCmd struct {
 	Owner      string   `arg:"" help:"Path of the account or team, such as acme/web."`
 	Name       string   `arg:"" help:"The route's name."`
@@ -48,7 +50,7 @@
 	})
 }
 
-// route returns the route that the flags describe. Limits that are not given bound nothing.
+// route returns the route that the flags describe. A limit whose flag is not given sets no bound.
 func (c *routePutCmd) route() (*account.Route, error) {
 	shares, err := parseZoneShares(c.ZoneShares)
 	if err != nil {
@@ -88,6 +90,7 @@
 	return shares, nil
 }
 
+// routeDeleteCmd implements "route drop", which deletes a route.
 type routeDeleteCmd struct {
 	Owner string `arg:"" help:"Path of the account or team."`
 	Name  string `arg:"" help:"The route's name."`
