--- a/internal/fleet/logentry/change.go
+++ b/internal/fleet/logentry/change.go
@@ -10,12 +10,12 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// errMemberDecision reports an entry that is signed by a key, though only members decide
-// what it changes, by what they observe.
+// errMemberDecision reports a signed entry whose change may only be decided by members, which
+// base the decision on their own observations.
 var errMemberDecision = errors.New("decided by members only, not with a key")
 
-// verifySignature checks the entry's signature. An entry without a key is a member's own:
-// its kind's change decides whether such a one is accepted.
+// verifySignature checks the entry's signature. An entry without a key is a member's own
+// decision; whether it is accepted depends on its kind: see applyChange.
 func (s *State) verifySignature(entry *Entry) error {
 	if entry.KeyName == "" {
 		if len(entry.Signature) > 0 {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// applyChange makes the entry's change. After an error the state is of no use.
+// applyChange applies the entry's change to s. After an error s must be discarded.
 func (s *State) applyChange(entry *Entry) error {
 	switch entry.Kind {
 	case KindZones:
--- a/internal/fleet/logentry/hash.go
+++ b/internal/fleet/logentry/hash.go
@@ -6,13 +6,13 @@
 	"fmt"
 )
 
-// Hash is the head of the hash chain: it covers the last entry and all before it.
+// Hash is the head of the hash chain. It covers the last entry and all entries before it.
 type Hash [sha256.Size]byte
 
-// MarshalText returns the hash in hexadecimal digits.
+// MarshalText encodes the hash as hexadecimal digits.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(h[:])), nil }
 
-// UnmarshalText reads hexadecimal digits.
+// UnmarshalText decodes a hash from hexadecimal digits.
 func (h *Hash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) {
 		return fmt.Errorf("hash: %d digits, want %d", len(text), hex.EncodedLen(len(h)))
--- a/internal/fleet/logentry/state.go
+++ b/internal/fleet/logentry/state.go
@@ -16,24 +16,24 @@
 
 // Outcome is the result of a proposed entry.
 type Outcome struct {
-	Index    uint64 `json:"index"`            // its place in the log; 0 if it was rejected before it was logged
-	Accepted bool   `json:"taken"`            // whether it changed the state
-	Reason   string `json:"reason,omitempty"` // why it was not accepted
+	Index    uint64 `json:"index"`            // position in the log; 0 if rejected before it was logged
+	Accepted bool   `json:"taken"`            // whether the entry changed the state
+	Reason   string `json:"reason,omitempty"` // why the entry was not accepted
 }
 
-// State is what all entries up to Index add up to. It is never changed in place, so that
-// readers may keep it, from any goroutine.
+// State is the result of applying all entries up to Index. A State is never modified in
+// place, so any goroutine may keep it and read it.
 type State struct {
 	Genesis   Genesis          `json:"genesis"`
 	Index     uint64           `json:"index"`
-	Hash      Hash             `json:"hash"` // of the chain up to Index
+	Hash      Hash             `json:"hash"` // head of the hash chain at Index
 	Zones     zonestatus.State `json:"zones"`
 	Accounts  account.State    `json:"accounts"`
 	Contracts slo.State        `json:"contracts"`
 }
 
-// NewState returns the state before the first entry. A root key or zone configuration that
-// can't be used is an error.
+// NewState returns the state before the first entry. It returns an error if the root key or
+// the zone configuration is invalid.
 func NewState(genesis Genesis) (*State, error) {
 	if len(genesis.RootKey) != 0 && len(genesis.RootKey) != ed25519.PublicKeySize {
 		return nil, fmt.Errorf("root: %d bytes are no Ed25519 public key", len(genesis.RootKey))
@@ -50,11 +50,11 @@
 	return s, nil
 }
 
-// ErrGenesisMismatch reports a state that began from another Genesis.
+// ErrGenesisMismatch reports a state that is based on another Genesis.
 var ErrGenesisMismatch = errors.New("state: of another genesis, root or zones differ")
 
-// AttachGenesis prepares a state that was read from JSON: it checks that the state began
-// from this genesis, and fills in what JSON leaves out.
+// AttachGenesis completes a state that was decoded from JSON: it checks that the state is
+// based on genesis, and sets the fields that the JSON omits.
 func (s *State) AttachGenesis(genesis Genesis) error {
 	stored, err := json.Marshal(s.Genesis)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Apply returns the state after one more entry, in the bytes that are in the log. An entry
-// that is not accepted changes nothing but index and hash.
+// Apply returns the state after one more entry; raw is the entry as stored in the log. An
+// entry that is not accepted changes only the index and the hash.
 func (s *State) Apply(raw []byte) (*State, Outcome) {
 	next := *s
 	next.Index++
@@ -90,13 +90,13 @@
 	return &next, Outcome{Index: next.Index, Accepted: true}
 }
 
-// Check returns why an entry would not be accepted now, nil if it would.
+// Check returns the reason for which s does not accept an entry, or nil if s accepts it.
 func (s *State) Check(raw []byte) error {
 	_, err := s.evaluate(raw)
 	return err
 }
 
-// evaluate returns a state with the entry's change in it: index and hash are as before.
+// evaluate returns a copy of s with the entry's change applied, and with s's index and hash.
 func (s *State) evaluate(raw []byte) (*State, error) {
 	if len(raw) > MaxSize {
 		return nil, fmt.Errorf("entry: %d bytes, at most %d are taken", len(raw), MaxSize)
--- a/internal/fleet/logentry/stored_test.go
+++ b/internal/fleet/logentry/stored_test.go
@@ -10,13 +10,13 @@
 	"coralrelay/internal/fleet/storedtest"
 )
 
-// The files in testdata/stored were made by
+// The files in testdata/stored are written by
 //
 //	go test ./internal/fleet/logentry -run TestStored -update
 //
-// entries.jsonl is a log, an entry a line; state.json is the state that it adds up to.
+// entries.jsonl is a log with one entry per line; state.json is the state after these entries.
 
-// storedEntry returns the change as entry number n of the log.
+// storedEntry returns entry n of the stored log, which makes change c.
 func storedEntry(t *testing.T, n int, c storedChange) Entry {
 	body, err := json.Marshal(c.change)
 	if err != nil {
@@ -31,8 +31,9 @@
 	return e
 }
 
-// Entries of each kind are written, signed, chained and applied as in the stored log, and
-// the stored state is read as the one that was written.
+// Guards the stored formats: entries of every kind must be encoded, signed, chained and
+// applied as in the stored log, and the stored state must decode to the state that was
+// encoded. Every exported field must be set in at least one stored value.
 func TestStoredLogAndState(t *testing.T) {
 	state, err := NewState(storedGenesis())
 	if err != nil {
@@ -42,8 +43,8 @@
 	filled := map[string]bool{}
 	for n, c := range storedChanges() {
 		e := storedEntry(t, n, c)
-		noteSetFields(reflect.ValueOf(e), filled)
-		noteSetFields(reflect.ValueOf(c.change), filled)
+		recordSetFields(reflect.ValueOf(e), filled)
+		recordSetFields(reflect.ValueOf(c.change), filled)
 		line := marshalEntry(t, e)
 		log.Write(append(line, '\n'))
 		var out Outcome
@@ -62,9 +63,9 @@
 		t.Error(err)
 	}
 	if err := read.AttachGenesis(storedGenesis()); err != nil || !reflect.DeepEqual(read, state) {
-		t.Errorf("read as %+v, %v; it was %+v", read, err, state)
+		t.Errorf("decoded state %+v, %v; want %+v", read, err, state)
 	}
-	noteSetFields(reflect.ValueOf(read), filled)
+	recordSetFields(reflect.ValueOf(read), filled)
 	for field, isFilled := range filled {
 		if !isFilled {
 			t.Errorf("%s: no stored value has it set", field)
@@ -72,33 +73,34 @@
 	}
 }
 
-// recordFields notes, for each field reachable from a value, whether it was ever not zero.
-func noteSetFields(value reflect.Value, filled map[string]bool) {
+// recordSetFields records, for each field reachable from value, whether it was ever non-zero.
+func recordSetFields(value reflect.Value, filled map[string]bool) {
 	switch value.Kind() {
 	case reflect.Pointer:
 		if !value.IsNil() {
-			noteSetFields(value.Elem(), filled)
+			recordSetFields(value.Elem(), filled)
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			noteSetFields(value.Index(i), filled)
+			recordSetFields(value.Index(i), filled)
 		}
 	case reflect.Map:
 		for _, key := range value.MapKeys() {
-			noteSetFields(value.MapIndex(key), filled)
+			recordSetFields(value.MapIndex(key), filled)
 		}
 	case reflect.Struct:
 		for field, fieldValue := range value.Fields() {
 			if field.IsExported() && field.Tag.Get("json") != "-" {
 				name := value.Type().String() + "." + field.Name
 				filled[name] = filled[name] || !fieldValue.IsZero()
-				noteSetFields(fieldValue, filled)
+				recordSetFields(fieldValue, filled)
 			}
 		}
 	}
 }
 
-// What a signature is over, byte for byte.
+// Checks the bytes that a signature covers against a literal, since stored signatures depend
+// on them.
 func TestStoredSignedBytes(t *testing.T) {
 	e := Entry{
 		Kind: "zones", ProposedBy: "m1", ProposedAt: 0x0102030405060708, Reason: "<w",
@@ -106,6 +108,6 @@
 	want := "\x00\x00\x00\x12" + "coralrelay-entry-1" + "\x00\x00\x00\x05" + "zones" + "\x00\x00\x00\x02" + "<w" +
 		"\x00\x00\x00\x01" + "k" + "\x00\x00\x00\x0e" + `{"a":"\u003c"}` + "\x01\x02\x03\x04\x05\x06\x07\x08"
 	if got := string(e.SignedBytes()); got != want {
-		t.Errorf("signed is %q, want %q", got, want)
+		t.Errorf("signed bytes %q, want %q", got, want)
 	}
 }
--- a/internal/fleet/logentry/storedchanges_test.go
+++ b/internal/fleet/logentry/storedchanges_test.go
@@ -11,7 +11,7 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// storedKey returns a fixed key: the root's is 1.
+// storedKey returns a fixed key pair. Seed 1 gives the root key.
 func storedKey(seed byte) (private ed25519.PrivateKey, public []byte, name string) {
 	private = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{seed}, ed25519.SeedSize))
 	public = private.Public().(ed25519.PublicKey)
@@ -45,8 +45,8 @@
 	}}
 }
 
-// storedChange is a change of the stored log, and the seed of the key that signs it; 0 for a
-// member's own.
+// storedChange is a change in the stored log. signerSeed is the seed of the key that signs
+// it, or 0 for a member's own decision.
 type storedChange struct {
 	kind       Kind
 	signerSeed byte
