--- a/internal/fleet/replog/follow.go
+++ b/internal/fleet/replog/follow.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxUpstreamsTried = 32 // in one round
+	maxUpstreamsTried = 32 // per round
 	retryInterval     = 50 * time.Millisecond
 )
 
-// rejectedError reports an upstream that does not serve this member.
+// rejectedError reports an upstream that has rejected this member as a follower.
 type rejectedError struct {
 	Reason       string
 	Alternatives []Peer // members that may have capacity
@@ -22,16 +22,16 @@
 
 func (e *rejectedError) Error() string { return "rejected by the upstream: " + e.Reason }
 
-// follow keeps this member fed by an upstream until ctx ends, except while it leads.
+// follow keeps this member connected to an upstream until ctx ends, except while it leads.
 func (r *Replica) follow(ctx context.Context) {
-	failedAt := map[string]time.Time{} // by peer; those that failed of late are tried last
+	failedAt := map[string]time.Time{} // by peer name; recently failed peers are tried last
 	for ctx.Err() == nil {
 		upstreamCtx, cancel := context.WithCancel(ctx)
 		r.mu.Lock()
-		r.leaveUpstream = cancel
+		r.cancelUpstream = cancel
 		r.mu.Unlock()
 		if r.IsLeader() {
-			<-upstreamCtx.Done() // reselectUpstream is called when it leads no more
+			<-upstreamCtx.Done() // reselectUpstream is called when this member loses leadership
 		} else if !r.tryUpstreams(upstreamCtx, failedAt) {
 			select {
 			case <-time.After(retryInterval + rand.N(retryInterval)):
@@ -42,8 +42,8 @@
 	}
 }
 
-// tryUpstreams follows one member after the other until one has fed this one, and reports
-// whether one has. It keeps failedAt up to date.
+// tryUpstreams follows one candidate after another until one has sent a heartbeat within the
+// lease, and reports whether one has. It records failed upstreams in failedAt.
 func (r *Replica) tryUpstreams(ctx context.Context, failedAt map[string]time.Time) bool {
 	queue, isPreferred := r.upstreamQueue(failedAt)
 	tried := map[string]bool{r.self.Name: true}
@@ -54,7 +54,7 @@
 			continue
 		}
 		tried[peer.Name] = true
-		fed, err := r.followUpstream(ctx, peer, isPreferred[peer.Name])
+		isFresh, err := r.followUpstream(ctx, peer, isPreferred[peer.Name])
 		var rejected *rejectedError
 		if errors.As(err, &rejected) {
 			queue = append(queue, rejected.Alternatives[:min(len(rejected.Alternatives), maxFollowers)]...)
@@ -62,15 +62,15 @@
 			slog.Debug("upstream failed", component, "peer", peer.Name, "error", err)
 			failedAt[peer.Name] = time.Now()
 		}
-		if fed {
+		if isFresh {
 			return true
 		}
 	}
 	return false
 }
 
-// upstreamQueue returns the members to try, those that failed of late last, and which of
-// them are preferred. It forgets older failures.
+// upstreamQueue returns the members to try, with recently failed ones last, and which of them
+// are preferred. It removes failures older than the peer timeout from failedAt.
 func (r *Replica) upstreamQueue(failedAt map[string]time.Time) (queue []Peer, isPreferred map[string]bool) {
 	ranked, preferredCount := rankUpstreams(r.self.Name, r.options.Voters, r.options.Peers(), r.View().Leader)
 	isPreferred = map[string]bool{}
@@ -93,10 +93,11 @@
 	return slices.Concat(queue, failed), isPreferred
 }
 
-// followUpstream follows one member until that ends, and reports whether a heartbeat within
-// the lease came from it. The error is a *rejectedError if the member has no capacity, and
-// nil if this member has left one that is not preferred, to try others again.
-func (r *Replica) followUpstream(ctx context.Context, peer Peer, isPreferred bool) (fed bool, err error) {
+// followUpstream follows one member until the session ends, and reports whether that member
+// has sent a heartbeat within the lease. The error is a *rejectedError if the member has
+// rejected this one, and nil if this one has left an upstream that is not preferred in order
+// to select again.
+func (r *Replica) followUpstream(ctx context.Context, peer Peer, isPreferred bool) (isFresh bool, err error) {
 	conn, err := r.transport.dial(ctx, peer.Addr, purposeFollow, r.options.peerTimeout()/2)
 	if err != nil {
 		return false, err
--- a/internal/fleet/replog/followers.go
+++ b/internal/fleet/replog/followers.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// serveFollower serves one follower until its connection or ctx ends: what it lacks at
-// once, then each entry as it is committed, and a heartbeat at each confirmation of the
-// leader.
+// serveFollower serves one follower until its connection or ctx ends. It sends the entries
+// that the follower lacks, then each new entry once it is committed, and a heartbeat at each
+// confirmation of the leader.
 func (r *Replica) serveFollower(ctx context.Context, conn *sealedConn) {
 	defer func() { _ = conn.Close() }()
 	var greeting hello
@@ -33,10 +33,10 @@
 		defer close(disconnected)
 		readSequences(conn, clock, greeting.Name)
 	}()
-	r.feed(ctx, conn, clock, greeting.Index, disconnected)
+	r.streamUpdates(ctx, conn, clock, greeting.Index, disconnected)
 }
 
-// readSequences reads a follower's sequence numbers until that fails.
+// readSequences reads a follower's sequence numbers until a read fails.
 func readSequences(conn *sealedConn, clock *upstreamClock, follower string) {
 	for {
 		if err := clock.readSequence(conn); err != nil {
@@ -46,9 +46,9 @@
 	}
 }
 
-// feed writes entries after sentIndex and heartbeats to a follower, until a write fails, it
-// has disconnected or ctx ends.
-func (r *Replica) feed(
+// streamUpdates writes the entries after sentIndex and heartbeats to a follower, until a write
+// fails, the follower disconnects or ctx ends.
+func (r *Replica) streamUpdates(
 	ctx context.Context, conn *sealedConn, clock *upstreamClock, sentIndex uint64, disconnected <-chan struct{},
 ) {
 	sentConfirmedAt := time.Time{}
@@ -68,7 +68,7 @@
 				return
 			}
 			sentConfirmedAt = view.ConfirmedAt
-			idle.Reset(2 * r.options.heartbeatInterval()) // a confirmation comes first while there is a leader
+			idle.Reset(2 * r.options.heartbeatInterval()) // a leader's next confirmation arrives earlier
 		}
 		heartbeatDue = false
 		select {
@@ -83,8 +83,8 @@
 	}
 }
 
-// sendEntriesAfter writes all entries after an index, or the whole state if some of them are
-// not kept any more. It returns the index up to which the follower then has them.
+// sendEntriesAfter writes all entries after index, or the complete state if some of these
+// entries are no longer kept. It returns the index of the last entry that the follower then has.
 func (r *Replica) sendEntriesAfter(conn *sealedConn, index uint64) (uint64, error) {
 	entries, ok := r.publisher.entriesAfter(index)
 	if !ok {
@@ -105,7 +105,8 @@
 	return index, nil
 }
 
-// newHeartbeat returns the heartbeat for a view; it names the follower's last sequence number.
+// newHeartbeat returns the heartbeat for a view. It acknowledges the follower's last sequence
+// number.
 func (r *Replica) newHeartbeat(view View, clock *upstreamClock) heartbeat {
 	beat := heartbeat{Leader: view.Leader, Path: append(append([]string{}, view.Path...), r.self.Name)}
 	if !view.ConfirmedAt.IsZero() {
@@ -116,8 +117,9 @@
 	return beat
 }
 
-// admitFollower registers a follower, or returns why it is not served and who may serve it.
-// There is always capacity for voters.
+// admitFollower registers a follower, or returns the rejection to send: its reason and, if
+// this member is at capacity, its followers as alternatives. The capacity does not apply to
+// voters.
 func (r *Replica) admitFollower(greeting *hello, conn *sealedConn) *rejection {
 	if greeting.Name == "" || len(greeting.Name) > maxNameLength {
 		return &rejection{Reason: fmt.Sprintf("a name of %d bytes", len(greeting.Name))}
@@ -133,7 +135,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if previous := r.followers[greeting.Name]; previous != nil { // its process has restarted, or has given that up
+	if previous := r.followers[greeting.Name]; previous != nil { // the follower restarted or abandoned it
 		_ = previous.Close()
 	} else if _, isVoter := r.options.findVoter(greeting.Name); !isVoter {
 		if nonVoters := r.nonVoterFollowers(); len(nonVoters) >= maxFollowers {
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// nonVoterFollowers returns the followers that are not among the voters. The caller holds mu.
+// nonVoterFollowers returns the followers that are not voters. The caller holds mu.
 func (r *Replica) nonVoterFollowers() (nonVoters []Peer) {
 	for name, follower := range r.followers {
 		if _, isVoter := r.options.findVoter(name); !isVoter {
@@ -156,7 +158,7 @@
 	return nonVoters
 }
 
-// removeFollower forgets a follower, unless a newer connection has replaced this one.
+// removeFollower unregisters a follower, unless a newer connection has replaced conn.
 func (r *Replica) removeFollower(greeting *hello, conn *sealedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +168,7 @@
 	r.publishFollowerCount()
 }
 
-// publishFollowerCount brings the number of followers into the view. The caller holds mu.
+// publishFollowerCount updates the number of followers in the view. The caller holds mu.
 func (r *Replica) publishFollowerCount() {
 	count := len(r.followers)
 	r.publisher.updateView(func(v *View) { v.FollowerCount = count })
--- a/internal/fleet/replog/fsm.go
+++ b/internal/fleet/replog/fsm.go
@@ -9,8 +9,9 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// stateMachine applies what raft has committed: it is raft's FSM. It begins at raft's
-// snapshot, which may be behind what the member has received from an upstream.
+// stateMachine is raft's FSM: it applies the entries that raft has committed. It starts from
+// raft's snapshot, which may be older than the state that this member received from an
+// upstream.
 type stateMachine struct {
 	replica *Replica
 	state   *logentry.State
@@ -20,17 +21,17 @@
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	next, outcome := m.state.Apply(entry.Data)
 	if known, ok := m.replica.publisher.hashAt(next.Index); ok && known != next.Hash {
-		slog.Error("committed log contradicts the hash chain received earlier", component, "index", next.Index)
+		slog.Error("committed hash chain differs from the one received earlier", component, "index", next.Index)
 	}
 	m.state = next
 	m.replica.publisher.publishState(next, entry.Data)
 	return outcome
 }
 
-// Snapshot returns the state as it is; Apply never changes it in place.
+// Snapshot returns the current state without a copy, since Apply never modifies a state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) { return stateSnapshot{m.state}, nil }
 
-// Restore replaces all that was applied by a snapshot's state.
+// Restore replaces the current state with the state of a snapshot.
 func (m *stateMachine) Restore(source io.ReadCloser) error {
 	defer func() { _ = source.Close() }()
 	encoded, err := io.ReadAll(io.LimitReader(source, maxStateSize+1))
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// stateSnapshot is a state on its way into raft's snapshot store.
+// stateSnapshot is a state to be written to raft's snapshot store.
 type stateSnapshot struct{ state *logentry.State }
 
 // Persist writes the state to sink.
@@ -65,5 +66,5 @@
 	return sink.Close()
 }
 
-// Release does nothing: states are never changed in place.
+// Release does nothing: states are never modified, so there is nothing to release.
 func (stateSnapshot) Release() {}
--- a/internal/fleet/replog/handshake.go
+++ b/internal/fleet/replog/handshake.go
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// The dialing side sends the magic bytes and a nonce, the accepting side a nonce. Each
-// direction of each connection has a key of its own, derived from the fleet's key and both
-// nonces, so that nothing recorded can be replayed.
+// The dialing side sends the magic bytes and a nonce; the accepting side answers with a nonce.
+// Each direction of each connection has its own key, derived from the fleet's key and both
+// nonces, so that recorded frames cannot be replayed.
 const (
 	handshakeMagic   = "CRF1"
 	nonceSize        = 16 // bytes
 	frameKeySize     = 32 // bytes, for AES-256
 	handshakeTimeout = 2 * time.Second
 
-	// What the keys are derived for. The words are part of the protocol.
+	// HKDF info strings of the two directions. They are part of the protocol.
 	infoFromDialer = "coralrelay-record-1 caller"
 	infoToDialer   = "coralrelay-record-1 called"
 )
 
-// errNoHandshake reports a connection that does not begin with the magic bytes.
-var errNoHandshake = errors.New("not a handshake of this protocol")
+// errBadMagic reports a connection that does not begin with handshakeMagic.
+var errBadMagic = errors.New("handshake: wrong magic bytes")
 
-// handshake agrees on the keys of a connection; the caller bounds it by a deadline. Neither
-// side has shown that it holds the fleet's key until the first frame from it is opened.
+// handshake exchanges nonces and derives the keys of a connection; the caller sets a deadline.
+// A peer has not proven that it holds the fleet's key until its first frame is opened.
 func handshake(conn net.Conn, key []byte, isDialer bool) (*sealedConn, error) {
 	ownNonce := make([]byte, nonceSize)
 	_, _ = rand.Read(ownNonce)
@@ -51,7 +51,7 @@
 	return newSealedConn(conn, reader, key, slices.Concat(peerNonce, ownNonce), isDialer)
 }
 
-// startHandshake is the dialing side of the exchange of nonces.
+// startHandshake performs the dialing side of the nonce exchange.
 func startHandshake(writer io.Writer, reader io.Reader, ownNonce []byte) (peerNonce []byte, err error) {
 	if _, err := writer.Write(append([]byte(handshakeMagic), ownNonce...)); err != nil {
 		return nil, err
@@ -61,14 +61,14 @@
 	return peerNonce, err
 }
 
-// answerHandshake is the accepting side of the exchange of nonces.
+// answerHandshake performs the accepting side of the nonce exchange.
 func answerHandshake(writer io.Writer, reader io.Reader, ownNonce []byte) (peerNonce []byte, err error) {
 	magic := make([]byte, len(handshakeMagic))
 	if _, err := io.ReadFull(reader, magic); err != nil {
 		return nil, err
 	}
 	if string(magic) != handshakeMagic {
-		return nil, errNoHandshake
+		return nil, errBadMagic
 	}
 	peerNonce = make([]byte, nonceSize)
 	if _, err := io.ReadFull(reader, peerNonce); err != nil {
@@ -78,8 +78,8 @@
 	return peerNonce, err
 }
 
-// newSealedConn derives the keys of both directions. The salt is the dialing side's nonce
-// and then the accepting side's.
+// newSealedConn derives the keys of both directions. salt is the dialing side's nonce followed
+// by the accepting side's nonce.
 func newSealedConn(conn net.Conn, reader *bufio.Reader, key, salt []byte, isDialer bool) (*sealedConn, error) {
 	fromDialer, err := newAEAD(key, salt, infoFromDialer)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return &sealedConn{Conn: conn, reader: reader, opener: fromDialer, sealer: toDialer}, nil
 }
 
-// newAEAD derives a key with HKDF-SHA256 and returns AES-256-GCM with it.
+// newAEAD derives a key with HKDF-SHA256 and returns AES-256-GCM with that key.
 func newAEAD(key, salt []byte, info string) (cipher.AEAD, error) {
 	derived, err := hkdf.Key(sha256.New, key, salt, info, frameKeySize)
 	if err != nil {
--- a/internal/fleet/replog/join.go
+++ b/internal/fleet/replog/join.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// voterSurvey is what the other voters say of the fleet's bootstrap.
+// voterSurvey summarizes the other voters' answers about the fleet's bootstrap.
 type voterSurvey struct {
-	stores     storeIDs // to bootstrap with; nil if it can't be done now
+	stores     storeIDs // to bootstrap with; nil if this voter cannot bootstrap now
 	storeLost  bool     // the fleet was bootstrapped with another store of this voter
-	waitReason string   // why nothing can be done now
+	waitReason string   // why this voter has to wait; empty if it need not
 }
 
-// join returns nil once this voter's store may vote. A store that is not blank may, since it
-// holds its votes and its log. A blank one is either one of those with which the fleet is
-// bootstrapped, or replaces one that was lost with its votes: then the leader readmits this
-// voter, as a non-voter at first.
+// join returns nil once raft may run on this voter's store. A store that is not blank may be
+// used at once, since it holds the voter's votes and log. A blank store is either one of the
+// stores with which the fleet is bootstrapped, or replaces a store that was lost together with
+// the votes in it: the leader then readmits this voter, at first as a non-voter.
 func (r *Replica) join(ctx context.Context, votes *voterStore) error {
 	if !votes.isBlank() {
 		return nil
@@ -35,7 +35,7 @@
 				slog.Info("readmitted as a non-voter until the log is replicated", component)
 				return nil
 			}
-			waitReason = "its store was lost, and no leader has readmitted it"
+			waitReason = "the voter's store was lost, and no leader has readmitted it"
 		}
 		if waitReason != loggedReason {
 			loggedReason = waitReason
@@ -51,8 +51,9 @@
 	}
 }
 
-// surveyVoters asks all other voters for their stores. There are stores to bootstrap with if
-// the fleet was bootstrapped with ownStore, or if all voters answer with blank stores.
+// surveyVoters asks all other voters about their stores. The result has stores to bootstrap
+// with if the fleet was bootstrapped with ownStore, or if no voter has entries and all voters
+// answer with blank stores.
 func (r *Replica) surveyVoters(ctx context.Context, ownStore string) voterSurvey {
 	survey := voterSurvey{}
 	blankStores := storeIDs{r.self.Name: ownStore}
@@ -83,7 +84,7 @@
 	return survey
 }
 
-// initialConfiguration returns raft's first configuration: all voters.
+// initialConfiguration returns raft's first configuration, which consists of all voters.
 func (r *Replica) initialConfiguration() (configuration raft.Configuration) {
 	for _, v := range r.options.Voters {
 		server := raft.Server{ID: raft.ServerID(v.Name), Address: raft.ServerAddress(v.Addr)}
@@ -92,8 +93,8 @@
 	return configuration
 }
 
-// requestReadmission asks one voter after the other, and reports whether one of them, the
-// leader, has readmitted this one.
+// requestReadmission asks the other voters in turn to readmit this one, and reports whether
+// one has. Only the leader does.
 func (r *Replica) requestReadmission(ctx context.Context) bool {
 	for _, v := range r.options.Voters {
 		if v.Name == r.self.Name {
@@ -107,7 +108,7 @@
 	return false
 }
 
-// requestPromotion asks the leader for this member's vote, if it has none.
+// requestPromotion asks the leader to give this member a vote, if it has none.
 func (r *Replica) requestPromotion(ctx context.Context, raftNode *raft.Raft) {
 	leader, _ := raftNode.LeaderWithID()
 	if leader == "" || hasVote(raftNode, r.self.Name) {
--- a/internal/fleet/replog/leadership.go
+++ b/internal/fleet/replog/leadership.go
@@ -7,14 +7,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftEvents are what raft reports while it runs.
+// raftEvents are the channels on which raft reports changes while it runs.
 type raftEvents struct {
-	leadership    <-chan bool             // whether this member leads, at each change
-	leaderChanges <-chan raft.Observation // at each change of the leader known
+	leadership    <-chan bool             // whether this member leads, sent at each change
+	leaderChanges <-chan raft.Observation // sent at each change of the known leader
 }
 
-// superviseRaft follows raft's changes until ctx ends or the voter's store fails, and
-// returns why.
+// superviseRaft handles raft's events until ctx ends or the voter's store fails, and returns
+// the cause.
 func (r *Replica) superviseRaft(ctx context.Context, raftNode *raft.Raft, votes *voterStore, events raftEvents) error {
 	confirmationEnded := make(chan struct{})
 	defer func() { <-confirmationEnded }()
@@ -45,7 +45,7 @@
 	}
 }
 
-// publishRole brings this member's role and the leader into the view.
+// publishRole updates this member's role and the leader's name in the view.
 func (r *Replica) publishRole(raftNode *raft.Raft) {
 	_, leader := raftNode.LeaderWithID()
 	role := RoleVoter
@@ -67,8 +67,8 @@
 	})
 }
 
-// confirmLeadership publishes, while this member leads, that a majority confirms it. A
-// confirmation counts from the moment before the majority was asked.
+// confirmLeadership calls confirmTerm at each heartbeat interval while this member leads, until
+// ctx ends.
 func (r *Replica) confirmLeadership(ctx context.Context, raftNode *raft.Raft) {
 	ticker := time.NewTicker(r.options.heartbeatInterval())
 	defer ticker.Stop()
@@ -84,8 +84,9 @@
 	}
 }
 
-// confirmTerm makes this leader ready in its term, once all earlier commits are applied,
-// and asks the majority whether it still leads.
+// confirmTerm marks this leader as ready in its term once all earlier commits are applied. It
+// then asks a majority whether this member still leads, and publishes the confirmation. The
+// confirmation is dated to just before the majority is asked.
 func (r *Replica) confirmTerm(raftNode *raft.Raft) {
 	term := raftNode.CurrentTerm()
 	if r.readyTerm.Load() != term && raftNode.Barrier(r.options.Lease).Error() == nil {
--- a/internal/fleet/replog/leaseclock.go
+++ b/internal/fleet/replog/leaseclock.go
@@ -9,36 +9,39 @@
 	"time"
 )
 
-// A heartbeat may be on its way for as long as a process is stopped or a link is slow, and
-// its receiver can't see for how long. So a follower sends sequence numbers, one at a time,
-// and a heartbeat names the last one that the upstream has received, with the age that the
-// leader's confirmation had at that moment. That moment is no earlier than the one at which
-// the follower sent the number, by the follower's own clock. So a confirmation never counts
-// as younger than it is, and as older at most by the time that a number was on its way. The
-// hello counts as sequence number 1.
+// A stopped process or a slow link can delay a heartbeat, and its receiver cannot measure the
+// delay. A follower therefore sends sequence numbers, one at a time, and a heartbeat holds the
+// last number that the upstream has received and the age that the leader's confirmation had
+// at that time of receipt. The follower subtracts this age from the time at which it sent the
+// number, by its own clock, which is no later than the time of receipt. A confirmation
+// therefore never appears younger than it is, and appears older by at most the time that the
+// number was in transit. The hello counts as sequence number 1.
 
 // sequenceSize is the length of a sequence number in bytes.
 const sequenceSize = 8
 
-// errSequence reports a sequence number that was not sent, or not waited for.
+// errSequence reports a sequence number that is out of order, or that was sent before the
+// previous one was acknowledged.
 var errSequence = errors.New("unexpected sequence number")
 
-// followerClock is the follower's side of a connection. One goroutine uses it.
+// followerClock is the follower's side of the sequence numbers of one connection. It must be
+// used by one goroutine only.
 type followerClock struct {
 	lastSequence           uint64
 	sentAt, previousSentAt time.Time // of lastSequence, and of the one before it
 }
 
-// nextSequence returns the number to send now.
+// nextSequence returns the number to send now, and records the time.
 func (c *followerClock) nextSequence() uint64 {
 	c.lastSequence++
 	c.previousSentAt, c.sentAt = c.sentAt, time.Now()
 	return c.lastSequence
 }
 
-// confirmedAt returns when the confirmation behind a heartbeat held at the latest: the zero
-// time if the upstream never had one. It is an error if the upstream has not read a number
-// for longer than maxAge, in which clocks may drift apart.
+// confirmedAt returns a time that is no later than the leader's confirmation that beat
+// reports, or the zero time if the upstream has never had a confirmation. It returns an error
+// if the upstream has not read a number for longer than maxAge, since the clocks may drift
+// apart in that time.
 func (c *followerClock) confirmedAt(beat *heartbeat, maxAge time.Duration) (at time.Time, err error) {
 	switch beat.Sequence {
 	case 0:
@@ -48,30 +51,29 @@
 	case c.lastSequence - 1:
 		at = c.previousSentAt
 	default:
-		return time.Time{}, fmt.Errorf("%w: %d, the last one sent is %d", errSequence, beat.Sequence, c.lastSequence)
+		return time.Time{}, fmt.Errorf("%w: got %d, last sent %d", errSequence, beat.Sequence, c.lastSequence)
 	}
 	now := time.Now()
-	if waiting := now.Sub(at); waiting > maxAge {
-		return time.Time{}, fmt.Errorf("upstream does not read: sequence number %d was sent %v ago", beat.Sequence, waiting)
+	if unreadFor := now.Sub(at); unreadFor > maxAge {
+		return time.Time{}, fmt.Errorf("upstream stopped reading: number %d was sent %v ago", beat.Sequence, unreadFor)
 	}
 	at = at.Add(-time.Duration(beat.AgeMicros) * time.Microsecond)
-	if at.After(now) { // the upstream lies, or clocks drift
+	if at.After(now) { // the upstream reports a wrong age, or the clocks drift
 		at = now
 	}
 	return at, nil
 }
 
-// upstreamClock is the upstream's side of a connection. One goroutine reads numbers while
-// another one acknowledges them.
+// upstreamClock is the upstream's side of the sequence numbers of one connection. One
+// goroutine reads numbers while another acknowledges them.
 type upstreamClock struct {
 	mu           sync.Mutex
 	lastSequence uint64
 	receivedAt   time.Time // of lastSequence
-	acknowledged bool      // a heartbeat has named lastSequence
+	acknowledged bool      // whether a heartbeat has held lastSequence
 }
 
-// acknowledge returns the last number and when it was received, for the heartbeat that
-// names it.
+// acknowledge returns the last number and its time of receipt, to be sent in a heartbeat.
 func (c *upstreamClock) acknowledge() (sequence uint64, receivedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +81,8 @@
 	return c.lastSequence, c.receivedAt
 }
 
-// readSequence reads one number. It must be the next one, and the last one must have been
-// acknowledged.
+// readSequence reads one number. It returns an error unless the number is the next one and
+// the previous one has been acknowledged.
 func (c *upstreamClock) readSequence(reader io.Reader) error {
 	kind, payload, err := readMessage(reader, sequenceSize)
 	if err != nil {
@@ -93,7 +95,7 @@
 	defer c.mu.Unlock()
 	sequence := binary.BigEndian.Uint64(payload)
 	if sequence != c.lastSequence+1 || !c.acknowledged {
-		return fmt.Errorf("%w: %d, the last one was %d", errSequence, sequence, c.lastSequence)
+		return fmt.Errorf("%w: got %d after %d", errSequence, sequence, c.lastSequence)
 	}
 	c.lastSequence, c.receivedAt, c.acknowledged = sequence, time.Now(), false
 	return nil
--- a/internal/fleet/replog/logcodec.go
+++ b/internal/fleet/replog/logcodec.go
@@ -10,16 +10,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// An entry of raft's log is stored as, big-endian:
+// An entry of raft's log is stored as these fields; the integers are big-endian:
 //
 //	index             8 bytes
 //	term              8 bytes
-//	appended at       8 bytes, Unix nanoseconds, 0 for none
+//	appended at       8 bytes, Unix nanoseconds, 0 if unset
 //	type              1 byte
 //	extensions length 4 bytes
 //	extensions
 //	data
-//	CRC-32C           4 bytes, of all before it: bbolt has no checksum of values
+//	CRC-32C           4 bytes, over all preceding bytes: bbolt does not checksum values
 const (
 	logTermOffset             = 8
 	logAppendedAtOffset       = 16
@@ -31,10 +31,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errCorruptLog reports a stored entry whose checksum or lengths do not match.
-var errCorruptLog = errors.New("checksum mismatch")
+// errCorruptEntry reports a stored entry with a wrong checksum or wrong lengths.
+var errCorruptEntry = errors.New("checksum mismatch")
 
-// encodeLog returns an entry as it is stored.
+// encodeLog returns the stored form of an entry.
 func encodeLog(entry *raft.Log) []byte {
 	size := logHeaderSize + len(entry.Extensions) + len(entry.Data) + logChecksumSize
 	encoded := make([]byte, 0, size)
@@ -52,14 +52,14 @@
 	return binary.BigEndian.AppendUint32(encoded, crc32.Checksum(encoded, castagnoli))
 }
 
-// decodeLog returns a stored entry, or errCorruptLog.
+// decodeLog decodes a stored entry, or returns errCorruptLog.
 func decodeLog(encoded []byte) (*raft.Log, error) {
 	if len(encoded) < logHeaderSize+logChecksumSize {
-		return nil, errCorruptLog
+		return nil, errCorruptEntry
 	}
 	content, checksum := encoded[:len(encoded)-logChecksumSize], encoded[len(encoded)-logChecksumSize:]
 	if crc32.Checksum(content, castagnoli) != binary.BigEndian.Uint32(checksum) {
-		return nil, errCorruptLog
+		return nil, errCorruptEntry
 	}
 	entry := &raft.Log{
 		Index: binary.BigEndian.Uint64(content),
@@ -72,7 +72,7 @@
 	rest := content[logHeaderSize:]
 	extensionsLength := binary.BigEndian.Uint32(content[logExtensionsLengthOffset:])
 	if uint64(extensionsLength) > uint64(len(rest)) {
-		return nil, errCorruptLog
+		return nil, errCorruptEntry
 	}
 	if extensionsLength > 0 {
 		entry.Extensions = bytes.Clone(rest[:extensionsLength])
--- a/internal/fleet/replog/membership.go
+++ b/internal/fleet/replog/membership.go
@@ -7,10 +7,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// errBehind reports a voter that asks for its vote before it has caught up.
+// errBehind reports a promotion request from a voter that has not caught up.
 var errBehind = errors.New("the voter has not caught up")
 
-// hasVote reports whether raft's latest configuration known here gives that member a vote.
+// hasVote reports whether the latest raft configuration known to this member gives the named
+// member a vote.
 func hasVote(raftNode *raft.Raft, name string) bool {
 	future := raftNode.GetConfiguration()
 	if future.Error() != nil {
@@ -24,7 +25,7 @@
 	return false
 }
 
-// serveVoterRequest answers one request of another voter.
+// serveVoterRequest answers one request from another voter.
 func (r *Replica) serveVoterRequest(conn *sealedConn) {
 	var request voterRequest
 	if readJSON(conn, msgVoterRequest, &request) != nil {
@@ -42,8 +43,9 @@
 }
 
 // changeMembership changes raft's configuration for a voter that has lost its store, if this
-// member leads. Readmission takes its vote away before it runs raft again, so that no
-// majority counts on what it has forgotten. Promotion gives the vote back.
+// member leads. Readmission removes that voter's vote before that voter runs raft again, so
+// that no majority relies on the votes and entries lost with the store. Promotion gives the
+// vote back.
 func (r *Replica) changeMembership(request voterRequest) error {
 	raftNode := r.raft.Load()
 	if raftNode == nil || !r.IsLeader() {
@@ -55,7 +57,8 @@
 	}
 	id, address := raft.ServerID(voter.Name), raft.ServerAddress(voter.Addr)
 	if request.Action == actionPromote {
-		// The readmission was logged after all that its lost store may have held.
+		// The readmission was logged after every entry that the lost store may have held, so a
+		// voter that has applied the latest configuration has recovered them.
 		future := raftNode.GetConfiguration()
 		if err := future.Error(); err != nil || request.AppliedIndex < future.Index() {
 			return errors.Join(err, errBehind)
--- a/internal/fleet/replog/messages.go
+++ b/internal/fleet/replog/messages.go
@@ -9,7 +9,7 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// connPurpose is what a connection is for: the first byte that the dialing side sends.
+// connPurpose is the use of a connection: the first byte that the dialing side sends.
 type connPurpose byte
 
 // The purposes of a connection.
@@ -20,19 +20,19 @@
 	purposeVoterRequest connPurpose = 'A'
 )
 
-// messageKind is the first byte of a message, on all connections but raft's. After it come
-// the payload's length, four bytes, big-endian, and the payload.
+// messageKind is the first byte of a message, on all connections except raft's. It is followed
+// by the payload's length (four bytes, big-endian) and the payload.
 type messageKind byte
 
-// The kinds of message and their payloads. The letters and the JSON names date from earlier
-// names of the types; members of two versions rely on them.
+// The kinds of message and their payloads. The letters and the JSON names derive from former
+// type names; they must not change, since members of different versions exchange them.
 const (
 	msgHello          messageKind = 'h' // JSON: hello
 	msgRejection      messageKind = 'n' // JSON: rejection
-	msgEntry          messageKind = 'e' // an entry: see encodeEntryHeader
-	msgState          messageKind = 's' // a whole state: see encodeState
+	msgEntry          messageKind = 'e' // an entry; see encodeEntryHeader
+	msgState          messageKind = 's' // a complete state; see encodeState
 	msgHeartbeat      messageKind = 'b' // JSON: heartbeat
-	msgSequence       messageKind = 'c' // a follower's sequence number, eight bytes, big-endian
+	msgSequence       messageKind = 'c' // a follower's sequence number: eight bytes, big-endian
 	msgProposal       messageKind = 'p' // an entry, as JSON
 	msgProposalResult messageKind = 'a' // JSON: proposalResult
 	msgVoterRequest   messageKind = 'q' // JSON: voterRequest
@@ -41,7 +41,7 @@
 
 // Sizes in bytes.
 const (
-	messageHeaderSize = 5 // kind and payload's length
+	messageHeaderSize = 5 // the kind and the payload's length
 	entryHeaderSize   = 8 + len(logentry.Hash{})
 
 	maxStateSize        = 64 << 20
@@ -49,7 +49,7 @@
 	maxEntryMessageSize = entryHeaderSize + logentry.MaxSize
 )
 
-// hello is a follower's first message: who it is, and the last entry that it has.
+// hello is a follower's first message: its name and address, and the last entry that it has.
 type hello struct {
 	Name  string        `json:"name"`
 	Addr  string        `json:"addr"`
@@ -57,58 +57,58 @@
 	Hash  logentry.Hash `json:"hash"`
 }
 
-// reasonForked is the Reason of a rejection if the follower's hash chain differs.
+// reasonForked is the Reason for rejecting a follower with a different hash chain.
 const reasonForked = "another chain"
 
-// rejection is the answer to the hello of a follower that is not served.
+// rejection is the answer to the hello of a follower that is not admitted.
 type rejection struct {
 	Reason       string `json:"why"`
 	Alternatives []Peer `json:"others,omitempty"` // members that may have capacity
 }
 
-// heartbeat says how old the last confirmation of the leader is: see followerClock.
+// heartbeat reports the age of the leader's last confirmation; see followerClock.
 type heartbeat struct {
-	Sequence  uint64   `json:"n,omitempty"` // the follower's last number received; 0 if no leader was ever confirmed
-	AgeMicros int64    `json:"a"`           // when that number was received; negative for a later confirmation
-	Leader    string   `json:"l,omitempty"` // as the sender knows it
-	Path      []string `json:"p"`           // members by which it came, from the leader to the sender
+	Sequence  uint64   `json:"n,omitempty"` // last number received; 0 if there is no confirmation
+	AgeMicros int64    `json:"a"`           // the confirmation's age at its receipt, in µs; negative if later
+	Leader    string   `json:"l,omitempty"` // as known to the sender
+	Path      []string `json:"p"`           // members that relayed it, from the leader to the sender
 }
 
 // proposalResult is the answer to a proposal.
 type proposalResult struct {
 	Outcome        logentry.Outcome `json:"outcome"`
-	Error          string           `json:"fault,omitempty"`  // empty if Outcome counts
+	Error          string           `json:"fault,omitempty"`  // empty if Outcome is valid
 	OutcomeUnknown bool             `json:"unknown"`          // the entry may or may not become part of the log
-	Leader         string           `json:"leader,omitempty"` // the leader that a member which does not lead knows
+	Leader         string           `json:"leader,omitempty"` // as known to a member that does not lead
 }
 
-// voterAction is what a voterRequest asks for.
+// voterAction is the operation that a voterRequest asks for.
 type voterAction string
 
-// The actions. Readmit and promote are the leader's; see changeMembership.
+// The actions. Only the leader performs actionReadmit and actionPromote; see changeMembership.
 const (
 	actionDescribe voterAction = "who"
 	actionReadmit  voterAction = "back" // make a voter that has lost its store a non-voter
-	actionPromote  voterAction = "vote" // give it its vote again
+	actionPromote  voterAction = "vote" // give that voter its vote back
 )
 
-// voterRequest is what one voter asks of another.
+// voterRequest is a request from one voter to another.
 type voterRequest struct {
 	Action       voterAction `json:"want"`
-	Name         string      `json:"name"`              // of the voter that asks
+	Name         string      `json:"name"`              // of the requesting voter
 	AppliedIndex uint64      `json:"applied,omitempty"` // raft's, for actionPromote
 }
 
-// voterInfo is the answer to a voterRequest: what a voter knows of its store.
+// voterInfo is the answer to a voterRequest: the status of the answering voter's store.
 type voterInfo struct {
-	StoreID         string   `json:"id,omitempty"`       // empty if none is open
+	StoreID         string   `json:"id,omitempty"`       // empty if no store is open
 	Bootstrapped    bool     `json:"founded,omitempty"`  // the store is not blank
-	BootstrapStores storeIDs `json:"founders,omitempty"` // with which the fleet was bootstrapped
-	Index           uint64   `json:"index"`              // of the state that it knows
-	Error           string   `json:"fault,omitempty"`    // why the action was not taken
+	BootstrapStores storeIDs `json:"founders,omitempty"` // that the fleet was bootstrapped with
+	Index           uint64   `json:"index"`              // of the voter's state
+	Error           string   `json:"fault,omitempty"`    // why the action failed; empty on success
 }
 
-// writeMessage writes a message, its payload in parts, at once.
+// writeMessage writes a message in one call to Write. parts are concatenated to the payload.
 func writeMessage(writer io.Writer, kind messageKind, parts ...[]byte) error {
 	size := 0
 	for _, part := range parts {
@@ -133,7 +133,7 @@
 	return writeMessage(writer, kind, encoded)
 }
 
-// readMessage reads one message. It is an error if the payload is longer than maxSize.
+// readMessage reads one message. It returns an error if the payload is longer than maxSize.
 func readMessage(reader io.Reader, maxSize int) (kind messageKind, payload []byte, err error) {
 	var header [messageHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -149,7 +149,7 @@
 	return kind, payload, err
 }
 
-// readJSON reads a message of that kind with a JSON payload.
+// readJSON reads a message of kind want and decodes its JSON payload into value.
 func readJSON(reader io.Reader, want messageKind, value any) error {
 	kind, payload, err := readMessage(reader, maxControlSize)
 	if err != nil {
@@ -161,18 +161,18 @@
 	return json.Unmarshal(payload, value)
 }
 
-// encodeEntryHeader returns the head of msgEntry's payload: the entry's index, eight bytes,
-// big-endian, and the chain's hash with it. The entry follows.
+// encodeEntryHeader returns the header of msgEntry's payload: the entry's index (eight bytes,
+// big-endian) and the hash of the chain up to and including the entry. The entry follows.
 func encodeEntryHeader(entry *committedEntry) []byte {
 	header := make([]byte, 0, entryHeaderSize)
 	header = binary.BigEndian.AppendUint64(header, entry.index)
 	return append(header, entry.hash[:]...)
 }
 
-// decodeEntry reads msgEntry's payload. The entry shares its memory.
+// decodeEntry decodes msgEntry's payload. The result shares memory with payload.
 func decodeEntry(payload []byte) (committedEntry, error) {
 	if len(payload) < entryHeaderSize {
-		return committedEntry{}, fmt.Errorf("an entry of %d bytes", len(payload))
+		return committedEntry{}, fmt.Errorf("entry message too short: %d bytes", len(payload))
 	}
 	return committedEntry{
 		index: binary.BigEndian.Uint64(payload),
--- a/internal/fleet/replog/options.go
+++ b/internal/fleet/replog/options.go
@@ -11,54 +11,54 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// Voter is one of the members that agree on entries. Addr is HOST:PORT. Zone may be empty.
+// Voter is one of the members that run raft. Addr is HOST:PORT. Zone may be empty.
 type Voter struct{ Name, Addr, Zone string }
 
-// Peer is a member that serves followers, as gossip reports it.
+// Peer is a member of the fleet, as reported by gossip.
 type Peer struct {
 	Name  string `json:"Name"`
-	Addr  string `json:"Addr"`  // HOST:PORT; empty if it serves none
+	Addr  string `json:"Addr"`  // HOST:PORT; empty if it serves no followers
 	Index uint64 `json:"Index"` // of its state
 }
 
-// Mutations switch guards off, one by one, so that a scenario can show that its checks
-// notice. All are false in service.
+// Mutations disable individual guards, so that a scenario can show that its checks detect the
+// resulting faults. All are false in production.
 type Mutations struct {
-	ApplyUncommitted bool // apply a proposal before it is committed
+	ApplyUncommitted bool // apply a proposal before its entry is committed
 	SkipHashCheck    bool // accept entries whose hash chain differs
-	SkipDiskSync     bool // don't wait for the disk
+	SkipDiskSync     bool // do not sync writes to the disk
 	AlwaysFresh      bool // report WithinLease however old the last heartbeat is
 }
 
 // Options configure a Replica.
 type Options struct {
-	Name          string // unique in the fleet, at most 64 bytes; a member votes if it is among Voters
+	Name          string // unique in the fleet, at most 64 bytes; a voter's name if it is in Voters
 	Zone          string
-	Dir           string           // folder for votes.db and state.db
-	Bind          string           // HOST:PORT to listen on, TCP; outgoing connections leave from the same address
-	Advertise     string           // HOST:PORT at which others reach it, if that is not Bind
-	Voters        []Voter          // 3 or 5, the same at all members
-	Key           []byte           // the fleet's shared key, 16 bytes at least
-	Genesis       logentry.Genesis // the same at all members
-	Lease         time.Duration    // how long a leader's confirmation counts; 0 for 2 s, at least 200 ms
-	Peers         func() []Peer    // the members known now; nil where only the voters are known
-	RaftLogOutput io.Writer        // for raft's own log lines, each prefixed with [DEBUG]; nil drops them
+	Dir           string           // directory of votes.db and state.db
+	Bind          string           // TCP HOST:PORT to listen on; outgoing connections use its IP address
+	Advertise     string           // HOST:PORT at which other members reach this one; empty if it is Bind
+	Voters        []Voter          // 3 or 5, the same on all members
+	Key           []byte           // the fleet's shared key, at least 16 bytes
+	Genesis       logentry.Genesis // the same on all members
+	Lease         time.Duration    // how long a leader's confirmation is valid; at least 200 ms, 0 means 2 s
+	Peers         func() []Peer    // returns the members known now; nil if only the voters are known
+	RaftLogOutput io.Writer        // receives raft's log lines, each prefixed with [DEBUG]; nil discards them
 	Mutations     Mutations
-	InjectFault   func(op string) error // called before each write to the disk, for tests; may be nil
+	InjectFault   func(op string) error // called before each disk write, for tests; may be nil
 }
 
-// OptionError reports an option that can't be used.
+// OptionError reports an invalid option.
 type OptionError struct {
-	Key string // of the operator's configuration, such as "fleet.record.lease"
+	Key string // in the operator's configuration, such as "fleet.record.lease"
 	Err error
 }
 
 func (e *OptionError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns e.Err.
 func (e *OptionError) Unwrap() error { return e.Err }
 
-// optionErrorf returns an OptionError whose reason is formatted as by fmt.Errorf.
+// optionErrorf returns an *OptionError for key, with an Err formatted by fmt.Errorf.
 func optionErrorf(key, format string, args ...any) error {
 	return &OptionError{Key: key, Err: fmt.Errorf(format, args...)}
 }
@@ -70,7 +70,7 @@
 	maxNameLength = 64 // bytes
 )
 
-// setDefaults fills in the options that were left out.
+// setDefaults sets omitted options to their defaults.
 func (o *Options) setDefaults() {
 	if o.Lease == 0 {
 		o.Lease = defaultLease
@@ -86,13 +86,13 @@
 	}
 }
 
-// validate returns an *OptionError for the first option that can't be used.
+// validate returns an *OptionError for the first invalid option.
 func (o *Options) validate() error {
 	switch {
 	case o.Name == "" || len(o.Name) > maxNameLength:
 		return optionErrorf("fleet.name", "%q, want 1 to %d bytes", o.Name, maxNameLength)
 	case o.Dir == "":
-		return &OptionError{Key: "fleet.record.dir", Err: errors.New("empty, want a folder")}
+		return &OptionError{Key: "fleet.record.dir", Err: errors.New("empty, want a directory")}
 	case len(o.Key) < minKeyLength:
 		return optionErrorf("fleet.key", "%d bytes, want %d at least", len(o.Key), minKeyLength)
 	case o.Lease < minLease:
@@ -104,9 +104,8 @@
 	return CheckVoters(o.Voters)
 }
 
-// CheckVoters reports whether a set of voters is usable: 3 or 5 with different names and
-// addresses, and, if they are in several zones, no zone with a majority. The error is an
-// *OptionError.
+// CheckVoters returns an *OptionError unless the voters are a valid set: 3 or 5 voters with
+// distinct names and addresses and, if they are in several zones, no majority in one zone.
 func CheckVoters(voters []Voter) error {
 	const key = "fleet.record.voters"
 	if count := len(voters); count != 3 && count != 5 {
@@ -122,7 +121,7 @@
 		}
 		for _, identifier := range []string{"name " + v.Name, "address " + v.Addr} {
 			if seen[identifier] {
-				return optionErrorf(key, "%s stands twice", identifier)
+				return optionErrorf(key, "%s is listed twice", identifier)
 			}
 			seen[identifier] = true
 		}
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// findVoter returns the voter of that name.
+// findVoter returns the voter with the given name.
 func (o *Options) findVoter(name string) (Voter, bool) {
 	for _, v := range o.Voters {
 		if v.Name == name {
@@ -148,16 +147,17 @@
 	return Voter{}, false
 }
 
-// All intervals derive from the lease. Raft's heartbeats that fail for one to two election
-// timeouts start an election, which is decided within one more; a leader cut off from the
-// others steps down after half of one. Each process uses its own monotonic clock, so clocks
-// that differ do no harm.
+// All intervals derive from the lease. A voter starts an election after one to two election
+// timeouts without a heartbeat from raft's leader, and the election takes at most one more. A
+// leader that cannot reach a majority steps down after half an election timeout. Each process
+// uses its own monotonic clock, so differences between the clocks have no effect.
 
-// electionTimeout is raft's heartbeat and election timeout.
+// electionTimeout returns raft's heartbeat timeout, which is also its election timeout.
 func (o *Options) electionTimeout() time.Duration { return o.Lease / 5 }
 
-// heartbeatInterval is how often a leader confirms to the fleet that it still leads.
+// heartbeatInterval returns the interval at which a leader confirms to the fleet that it still
+// leads.
 func (o *Options) heartbeatInterval() time.Duration { return o.Lease / 8 }
 
-// peerTimeout is how long a peer may be silent or not take what is written to it.
+// peerTimeout returns how long a peer may be silent or a write to it may block.
 func (o *Options) peerTimeout() time.Duration { return o.Lease / 2 }
--- a/internal/fleet/replog/options_test.go
+++ b/internal/fleet/replog/options_test.go
@@ -14,16 +14,16 @@
 		}
 		return v
 	}
-	twice := set("a", "b", "c")
-	twice[2].Addr = twice[0].Addr
+	duplicate := set("a", "b", "c")
+	duplicate[2].Addr = duplicate[0].Addr
 	for want, voters := range map[string][]Voter{
-		"":                               set("a", "b", "c"),
-		"zone a holds 2 of 3":            set("a", "a", "b"),
-		"zone b holds 3 of 5":            set("a", "b", "b", "c", "b"),
-		"4, want 3 or 5":                 set("a", "b", "c", "d"),
-		"address 127.0.0.1:7000 stands":  twice,
-		`name ""`:                        append(set("a", "b"), Voter{Addr: "127.0.0.9:1"}),
-		"v2: address nowhere: missing p": append(set("a", "b"), Voter{Name: "v2", Addr: "nowhere"}),
+		"":                                       set("a", "b", "c"),
+		"zone a holds 2 of 3":                    set("a", "a", "b"),
+		"zone b holds 3 of 5":                    set("a", "b", "b", "c", "b"),
+		"4, want 3 or 5":                         set("a", "b", "c", "d"),
+		"address 127.0.0.1:7000 is listed twice": duplicate,
+		`name ""`:                                append(set("a", "b"), Voter{Addr: "127.0.0.9:1"}),
+		"v2: address nowhere: missing p":         append(set("a", "b"), Voter{Name: "v2", Addr: "nowhere"}),
 	} {
 		err := CheckVoters(voters)
 		if want == "" && err == nil {
--- a/internal/fleet/replog/propose.go
+++ b/internal/fleet/replog/propose.go
@@ -12,8 +12,8 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// ErrOutcomeUnknown reports that a proposal may have become part of the log, or may yet: its
-// answer was lost. The state will show it.
+// ErrOutcomeUnknown reports a proposal whose answer was lost: its entry may be part of the log
+// or may still become part of it. The state shows the entry once it is applied.
 var ErrOutcomeUnknown = errors.New("what became of the entry is not known")
 
 var (
@@ -22,15 +22,15 @@
 )
 
 const (
-	maxProposals   = 64              // in flight at the leader
-	requestTimeout = 5 * time.Second // for a proposal or a voterRequest, to the answer
+	maxProposals   = 64              // concurrent proposals at the leader
+	requestTimeout = 5 * time.Second // until the answer to a proposal or a voterRequest
 )
 
-// Propose brings an entry to the leader and returns the outcome, once the entry is committed
-// and applied there. An entry that would not be accepted is mostly rejected before it is
-// logged: then Outcome.Index is 0. It is never sent twice: if its answer is lost, the error
-// is ErrOutcomeUnknown. Any other error says that the entry is not part of the log. Propose
-// returns within 5 s.
+// Propose sends an entry to the leader and returns its outcome once the entry is committed and
+// applied there. An entry that would not be accepted is usually rejected before it is logged;
+// Outcome.Index is then 0. If an answer is lost, Propose does not send the entry again and
+// returns ErrOutcomeUnknown. Any other error means that the entry is not part of the log.
+// Propose returns within 5 s.
 func (r *Replica) Propose(ctx context.Context, entry logentry.Entry) (logentry.Outcome, error) {
 	raw, err := json.Marshal(&entry)
 	if err != nil {
@@ -55,7 +55,7 @@
 		if leaderHint == target.Name {
 			leaderHint = ""
 		}
-		if leaderHint != "" && attempt%4 != 3 { // two may take each other for the leader
+		if leaderHint != "" && attempt%4 != 3 { // two voters may name each other as leader
 			continue
 		}
 		select {
@@ -66,8 +66,8 @@
 	}
 }
 
-// proposalTarget returns the voter to send a proposal to. Without a hint each second attempt
-// goes to the voters in turn, since the leader known here may be out of date.
+// proposalTarget returns the voter to send a proposal to: the leader. Without a hint every
+// second attempt goes to the voters in turn, since the known leader may be out of date.
 func (r *Replica) proposalTarget(leaderHint string, attempt int) Voter {
 	leader := leaderHint
 	if leader == "" {
@@ -80,7 +80,7 @@
 	return r.options.Voters[attempt/2%len(r.options.Voters)]
 }
 
-// proposeTo proposes an entry at a voter, which may be this one.
+// proposeTo proposes an entry to a voter, which may be this member.
 func (r *Replica) proposeTo(ctx context.Context, target Voter, raw []byte) proposalResult {
 	if target.Name == r.self.Name {
 		return r.proposeLocally(ctx, raw)
@@ -88,8 +88,8 @@
 	return r.forwardProposal(ctx, target, raw)
 }
 
-// forwardProposal sends an entry to another voter. Until the entry is sent an error says
-// that it is not part of the log.
+// forwardProposal sends an entry to another voter. A failure to connect means that the entry
+// is not part of the log; after any later failure the outcome is unknown.
 func (r *Replica) forwardProposal(ctx context.Context, target Voter, raw []byte) (result proposalResult) {
 	conn, err := r.transport.dial(ctx, target.Addr, purposePropose, r.options.peerTimeout()/2)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return result
 }
 
-// serveProposal answers one proposal that another member has forwarded.
+// serveProposal answers one proposal forwarded by another member.
 func (r *Replica) serveProposal(ctx context.Context, conn *sealedConn) {
 	kind, raw, err := readMessage(conn, maxEntryMessageSize)
 	if err != nil || kind != msgProposal {
@@ -117,7 +117,7 @@
 	_ = writeJSON(conn, msgProposalResult, r.proposeLocally(ctx, raw))
 }
 
-// proposeLocally proposes an entry here, if this member leads.
+// proposeLocally proposes an entry to raft on this member, if it leads.
 func (r *Replica) proposeLocally(ctx context.Context, raw []byte) proposalResult {
 	raftNode := r.raft.Load()
 	if raftNode == nil || raftNode.State() != raft.Leader {
@@ -129,7 +129,7 @@
 		return proposalResult{Error: errBusy.Error()}
 	}
 	done := make(chan proposalResult, 1)
-	go func() { // ends when raft answers, at the latest when that shuts down
+	go func() { // ends when raft answers, at the latest when raft shuts down
 		defer func() { <-r.proposalSlots }()
 		done <- r.commitEntry(raftNode, raw)
 	}()
@@ -141,9 +141,10 @@
 	}
 }
 
-// commitEntry takes an entry through raft. One that would not be accepted is rejected at
-// once, by a state that a barrier has brought up to date. VerifyLeader would not do: the
-// answer to a heartbeat from before this process was stopped for a while can confirm it.
+// commitEntry commits an entry through raft. It rejects an entry without logging it if the
+// state does not accept the entry after a barrier has brought the state up to date.
+// VerifyLeader cannot replace the barrier: if this process was stopped for a while, the
+// answer to a heartbeat from before that can confirm a leader that has been replaced.
 func (r *Replica) commitEntry(raftNode *raft.Raft, raw []byte) proposalResult {
 	if r.IsLeader() && r.checkEntry(raw) != nil && raftNode.Barrier(requestTimeout).Error() == nil {
 		if err := r.checkEntry(raw); err != nil {
@@ -164,12 +165,12 @@
 	return proposalResult{OutcomeUnknown: !isNeverLogged(err), Error: err.Error()}
 }
 
-// checkEntry reports why the state known here would not accept an entry.
+// checkEntry returns the reason for which this member's state does not accept an entry, or nil.
 func (r *Replica) checkEntry(raw []byte) error {
 	return r.publisher.view.Load().State.Check(raw)
 }
 
-// isNeverLogged reports whether raft's error says that the entry is not part of the log.
+// isNeverLogged reports whether raft's error means that the entry is not part of the log.
 func isNeverLogged(err error) bool {
 	return errors.Is(err, raft.ErrNotLeader) ||
 		errors.Is(err, raft.ErrEnqueueTimeout) ||
--- a/internal/fleet/replog/propose_test.go
+++ b/internal/fleet/replog/propose_test.go
@@ -18,7 +18,7 @@
 	if last.Index != out.Index+1 {
 		t.Errorf("index %d after %d", last.Index, out.Index)
 	}
-	f.awaitAll("at the next", freshAtIndex(last.Index))
+	f.awaitAll("at the second entry", freshAtIndex(last.Index))
 	want := f.awaitLeader().View().State.Hash
 	for name, m := range f.members {
 		if got := m.View().State.Hash; got != want {
@@ -27,9 +27,9 @@
 	}
 	rejected, err := a.Propose(context.Background(), zonesEntry(0))
 	if err != nil || rejected.Accepted || rejected.Index != 0 || rejected.Reason == "" {
-		t.Errorf("an entry on an old version: %+v, %v", rejected, err)
+		t.Errorf("entry based on an old version: %+v, %v", rejected, err)
 	}
-	// A follower that starts alone has the state it knew, and is not within a lease.
+	// A follower that starts with no peer running has its last state and is not within the lease.
 	for _, m := range f.members {
 		if raftNode := m.raft.Load(); raftNode != nil {
 			if err := raftNode.Snapshot().Error(); err != nil {
@@ -40,15 +40,15 @@
 	}
 	a = f.restart(a, nil)
 	if v := a.View(); v.State.Index != last.Index || v.State.Hash != want || v.WithinLease {
-		t.Errorf("alone: %+v", v)
+		t.Errorf("with no peer running: %+v", v)
 	}
-	// Voters that start from a snapshot, without the log before it, continue from there.
+	// Voters that start from a snapshot, without the log before it, continue from its index.
 	for _, v := range f.voters {
 		f.restart(f.members[v.Name], nil)
 	}
 	f.propose(a)
 	for _, v := range f.voters {
-		f.await(f.members[v.Name], "at the third", freshAtIndex(last.Index+1))
+		f.await(f.members[v.Name], "at the third entry", freshAtIndex(last.Index+1))
 		if raftNode := f.members[v.Name].raft.Load(); raftNode.Stats()["last_snapshot_index"] == "0" {
 			t.Errorf("%s has no snapshot", v.Name)
 		}
@@ -58,21 +58,21 @@
 func TestNewLeaderAfterLeaderCrash(t *testing.T) {
 	f := newFleet(t, 3)
 	a := startFollower(f, 1)
-	old := f.awaitLeader()
+	oldLeader := f.awaitLeader()
 	f.propose(a)
 	answered := make(chan error, 1)
-	version := old.View().State.Zones.Version
+	version := oldLeader.View().State.Zones.Version
 	var out logentry.Outcome
 	go func() {
 		var err error
 		out, err = a.Propose(context.Background(), zonesEntry(version))
 		answered <- err
 	}()
-	old.kill()
+	oldLeader.kill()
 	err := <-answered
-	next := f.awaitLeader(old)
-	f.await(a, "fresh again", func(v View) bool { return v.WithinLease && v.Leader == next.options.Name })
-	if got := next.View().State.Zones.Version; err == nil && (!out.Accepted || got <= version) {
+	leader := f.awaitLeader(oldLeader)
+	f.await(a, "in a lease again", func(v View) bool { return v.WithinLease && v.Leader == leader.options.Name })
+	if got := leader.View().State.Zones.Version; err == nil && (!out.Accepted || got <= version) {
 		t.Errorf("answered %+v, and the new leader is at version %d of %d", out, got, version)
 	} else if err != nil && !errors.Is(err, ErrOutcomeUnknown) && got != version {
 		t.Errorf("%v, but it was accepted", err)
--- a/internal/fleet/replog/publisher.go
+++ b/internal/fleet/replog/publisher.go
@@ -8,29 +8,29 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// Bounds on the committed entries kept for followers; one that is further behind is sent
-// the whole state.
+// Bounds on the committed entries kept for followers. A follower that is further behind is
+// sent the complete state.
 const (
 	maxKeptEntries = 4096
 	maxKeptBytes   = 16 << 20
 )
 
-// committedEntry is one committed entry, as followers are sent it.
+// committedEntry is one committed entry, as sent to followers.
 type committedEntry struct {
 	index uint64
-	hash  logentry.Hash // of the chain, with this entry in it
+	hash  logentry.Hash // of the chain up to and including this entry
 	raw   []byte
 }
 
-// publisher holds the view and the last committed entries, and wakes those who wait for a
-// change. Its methods may be called from any goroutine.
+// publisher holds the view and the last committed entries, and notifies waiters of changes.
+// Its methods may be called from any goroutine.
 type publisher struct {
 	view            atomic.Pointer[View]
 	mu              sync.Mutex
-	entries         []committedEntry // consecutive; the last one's index is the view's
+	entries         []committedEntry // consecutive, up to the index of the view's state
 	entryBytes      int
-	viewChanged     chan struct{} // closed when the view changes in more than ConfirmedAt and Path
-	anythingChanged chan struct{} // closed when the view changes at all
+	viewChanged     chan struct{} // closed at a change other than of ConfirmedAt and Path
+	anythingChanged chan struct{} // closed at any change of the view
 }
 
 func newPublisher(initial *logentry.State) *publisher {
@@ -39,8 +39,8 @@
 	return p
 }
 
-// publish replaces the view by an edited copy and wakes waiters: those for viewChanged only
-// if notify is set. The caller holds mu.
+// publish replaces the view with an edited copy and closes anythingChanged. It also closes
+// viewChanged if notify is set. The caller holds mu.
 func (p *publisher) publish(edit func(*View), notify bool) {
 	view := *p.view.Load()
 	edit(&view)
@@ -53,15 +53,15 @@
 	}
 }
 
-// updateView edits the parts of the view other than state and confirmation.
+// updateView edits fields of the view other than the state and the leader's confirmation.
 func (p *publisher) updateView(edit func(*View)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.publish(edit, true)
 }
 
-// publishState publishes a state unless a later one is known. raw is the entry that led to
-// it; nil stands for a state that was received whole.
+// publishState publishes a state unless the view has it or a later one. raw is the entry that
+// produced the state, or nil if the complete state was received or loaded.
 func (p *publisher) publishState(next *logentry.State, raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	p.publish(func(v *View) { v.State = next }, true)
 }
 
-// dropOldEntries keeps the entries within their bounds. The caller holds mu.
+// dropOldEntries drops the oldest entries that exceed the bounds. The caller holds mu.
 func (p *publisher) dropOldEntries() {
 	dropped := 0
 	for len(p.entries)-dropped > maxKeptEntries || p.entryBytes > maxKeptBytes {
@@ -90,8 +90,8 @@
 	p.entries = p.entries[dropped:]
 }
 
-// confirmLeader notes that the leader was known to lead at a time, and by which members
-// this was received. An empty leader leaves the one that is known.
+// confirmLeader records that the leader was known to lead at a time, and the members that
+// relayed this confirmation. An empty leader leaves the known leader unchanged.
 func (p *publisher) confirmLeader(at time.Time, leader string, path []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +107,8 @@
 	}, leader != "" && leader != old.Leader)
 }
 
-// entriesAfter returns the committed entries after an index. ok is false if some of them
-// are not kept any more.
+// entriesAfter returns the committed entries after index. ok is false if some of them are no
+// longer kept.
 func (p *publisher) entriesAfter(index uint64) (entries []committedEntry, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +122,7 @@
 	return nil, false
 }
 
-// hashAt returns the chain's hash at an index, if it is still known.
+// hashAt returns the chain's hash at index, and whether that hash is still known.
 func (p *publisher) hashAt(index uint64) (logentry.Hash, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	return logentry.Hash{}, false
 }
 
-// changes returns the channels that are closed at the next change.
+// changes returns the channels that are closed at the next change of each kind.
 func (p *publisher) changes() (viewChanged, anythingChanged <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/replog/raftlayer.go
+++ b/internal/fleet/replog/raftlayer.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftLayer is raft's StreamLayer on the transport, for one run of raft. All its connections
-// can be cut at once.
+// raftLayer implements raft.StreamLayer on the transport, for one run of raft. Close closes
+// all its connections at once.
 type raftLayer struct {
 	transport *transport
 	addr      raftAddr
@@ -19,10 +19,10 @@
 	cancel    context.CancelFunc
 
 	mu    sync.Mutex
-	conns map[*raftConn]struct{} // open ones, accepted and dialed
+	conns map[*raftConn]struct{} // open connections, accepted and dialed
 }
 
-// raftAddr is this member's address as raft knows it.
+// raftAddr is this member's address in raft's configuration.
 type raftAddr string
 
 // Network returns "tcp".
@@ -31,7 +31,7 @@
 // String returns the address.
 func (a raftAddr) String() string { return string(a) }
 
-// raftConn removes itself from its layer when it is closed.
+// raftConn is a connection of raft. It removes itself from its layer when it is closed.
 type raftConn struct {
 	net.Conn
 	layer  *raftLayer
@@ -39,7 +39,7 @@
 	closed chan struct{} // closed with the connection
 }
 
-// Close closes the connection.
+// Close removes the connection from its layer and closes it.
 func (c *raftConn) Close() error {
 	c.once.Do(func() {
 		c.layer.mu.Lock()
@@ -50,7 +50,7 @@
 	return c.Conn.Close()
 }
 
-// newRaftLayer returns a layer that ends with ctx, or when it is closed.
+// newRaftLayer returns a layer that works until ctx ends or the layer is closed.
 func newRaftLayer(ctx context.Context, transport *transport, localAddr string) *raftLayer {
 	layer := &raftLayer{
 		transport: transport,
@@ -62,7 +62,8 @@
 	return layer
 }
 
-// track notes a connection for Close. After Close it closes the connection instead.
+// track registers a connection, so that Close closes it. After Close or the end of ctx, track
+// closes the connection and returns an error.
 func (l *raftLayer) track(conn net.Conn) (*raftConn, error) {
 	tracked := &raftConn{Conn: conn, layer: l, closed: make(chan struct{})}
 	l.mu.Lock()
@@ -75,7 +76,7 @@
 	return tracked, nil
 }
 
-// deliver hands raft an accepted connection, and returns when it is closed.
+// deliver passes an accepted connection to raft, and returns when the connection is closed.
 func (l *raftLayer) deliver(conn *sealedConn) {
 	tracked, err := l.track(conn)
 	if err != nil {
@@ -112,10 +113,11 @@
 	return l.track(conn)
 }
 
-// Addr returns this member's address as raft knows it.
+// Addr returns this member's address in raft's configuration.
 func (l *raftLayer) Addr() net.Addr { return l.addr }
 
-// Close closes all connections before it returns: nothing that raft sends later goes out.
+// Close closes all connections before it returns, so that nothing raft sends later reaches a
+// peer.
 func (l *raftLayer) Close() error {
 	l.mu.Lock()
 	l.cancel()
--- a/internal/fleet/replog/raftlog.go
+++ b/internal/fleet/replog/raftlog.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// raftLogWriter passes raft's own log lines on, each without its time and as a line of
-// level debug; raft's level stays in the text.
+// raftLogWriter forwards raft's log lines at level debug and without their time. Raft's own
+// level remains in the text.
 type raftLogWriter struct{ output io.Writer }
 
-// Write takes one or more whole lines.
+// Write accepts one or more complete lines.
 func (w raftLogWriter) Write(p []byte) (int, error) {
 	for _, line := range strings.Split(strings.TrimSpace(string(p)), "\n") {
 		if levelAt := strings.IndexByte(line, '['); levelAt >= 0 {
--- a/internal/fleet/replog/raftstore.go
+++ b/internal/fleet/replog/raftstore.go
@@ -16,7 +16,7 @@
 	voteKey     = []byte("LastVoteCand")
 )
 
-// logKey returns the key under which an entry is stored.
+// logKey returns the key under which the entry with that index is stored.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // FirstIndex returns the first entry's index, or 0 if there is none.
@@ -33,7 +33,7 @@
 	return s.lastIndex, nil
 }
 
-// GetLog reads one entry into entry, or returns raft.ErrLogNotFound.
+// GetLog copies the entry at index to entry, or returns raft.ErrLogNotFound.
 func (s *voterStore) GetLog(index uint64, entry *raft.Log) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -48,8 +48,9 @@
 // StoreLog writes one entry.
 func (s *voterStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs writes entries; they are durable when it returns. Entries after a gap, as behind
-// a snapshot received from the leader, replace all that is stored.
+// StoreLogs writes entries, which are durable when it returns. If there is a gap between the
+// stored entries and the new ones, as after a snapshot received from the leader, the new ones
+// replace all stored entries.
 func (s *voterStore) StoreLogs(entries []*raft.Log) error {
 	if len(entries) == 0 {
 		return nil
@@ -77,7 +78,7 @@
 	})
 }
 
-// DeleteRange deletes the entries from one index to another, both included.
+// DeleteRange deletes the entries from index from to index to, inclusive.
 func (s *voterStore) DeleteRange(from, to uint64) error {
 	return s.update("log", func(tx *store.Tx) error {
 		bucket := tx.Bucket(logsBucket)
@@ -106,9 +107,9 @@
 	}
 }
 
-// Set writes a value. Raft writes a vote as its term and then its candidate. The term waits
-// for the candidate and both are written at once: half a vote, read after a crash, would
-// count as one for the previous candidate.
+// Set writes a value. Raft writes a vote in two calls: its term, then its candidate. Set keeps
+// the term in memory until the candidate is set and writes both in one transaction: a term
+// without its candidate, read after a crash, would count as a vote for the previous candidate.
 func (s *voterStore) Set(key, value []byte) error {
 	value = bytes.Clone(value)
 	if bytes.Equal(key, voteTermKey) {
@@ -143,24 +144,24 @@
 	})
 }
 
-// Get reads a value. One that was never set is empty.
+// Get reads a value. A value that was never set is empty.
 func (s *voterStore) Get(key []byte) ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.stable[string(key)], nil
 }
 
-// SetUint64 writes a number. Raft panics if its term can't be written, so that failure is
-// not returned: by then all of raft's connections are cut, and no peer learns of the term.
+// SetUint64 writes a number. It does not return a failure to write raft's term, since raft
+// would panic: at that point all of raft's connections are closed, so no peer learns the term.
 func (s *voterStore) SetUint64(key []byte, n uint64) error {
 	err := s.Set(key, binary.BigEndian.AppendUint64(nil, n))
 	if bytes.Equal(key, termKey) {
-		return nil // superviseRaft ends raft
+		return nil // superviseRaft stops raft
 	}
 	return err
 }
 
-// GetUint64 reads a number. One that was never set is 0.
+// GetUint64 reads a number. A number that was never set is 0.
 func (s *voterStore) GetUint64(key []byte) (uint64, error) {
 	value, _ := s.Get(key)
 	if len(value) != 8 {
--- a/internal/fleet/replog/ranking.go
+++ b/internal/fleet/replog/ranking.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// maxFollowers is how many followers without a vote a member serves; voters come on top.
+// maxFollowers is the number of followers a member serves, in addition to voters.
 const maxFollowers = 8
 
-// hashWeight returns a hash of the parts that is the same at all members.
+// hashWeight returns a hash of the parts that is the same on all members.
 func hashWeight(parts ...string) uint64 {
 	hasher := fnv.New64a()
 	for _, part := range parts {
 		_, _ = hasher.Write([]byte(part))
 		_, _ = hasher.Write([]byte{0})
 	}
-	mixed := hasher.Sum64() // FNV's low bits are poor for names that differ in their last digit
+	mixed := hasher.Sum64() // FNV mixes names that differ only in the last digit poorly
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
 	return mixed ^ mixed>>33
 }
 
-// rankUpstreams returns the members that self may follow, the best first, and how many of
-// them are preferred: from any other, self moves on when it can.
+// rankUpstreams returns the members that self may follow, the best first, and the number of
+// preferred ones at their head. Self leaves any other upstream after a while to select again.
 //
-// The fleet forms layers, by a hash of the members' names: the voters, then as many members
-// as the voters other than the leader can serve, then as many as these can serve. A member
-// tries the layer above its own, in an order of its own (rendezvous hashing), then those
-// nearer to the leader, then the leader. Last come its own layer and those below, where a
-// heartbeat's path shows a cycle. A voter prefers the leader.
+// The members form layers, ordered by a hash of their names: the voters, then as many members
+// as the voters other than the leader can serve, then as many as that layer can serve, and so
+// on. A member tries the layer above its own, in rendezvous order, then the layers nearer to
+// the leader, then the leader. Its own layer and those below come last; a cycle there shows in
+// the heartbeat's path. A voter prefers the leader.
 func rankUpstreams(self string, voters []Voter, peers []Peer, leader string) (candidates []Peer, preferred int) {
 	isVoter := map[string]bool{}
 	var leaders, otherVoters []Peer
@@ -46,7 +46,7 @@
 	}
 	sortRendezvous(self, otherVoters)
 	members := sortedMembers(self, peers, isVoter)
-	if isVoter[self] { // raft connects it with the leader anyway
+	if isVoter[self] { // raft connects a voter to the leader anyway
 		others := slices.DeleteFunc(members, func(p Peer) bool { return p.Name == self })
 		sortRendezvous(self, others)
 		return slices.Concat(leaders, otherVoters, others), len(leaders)
@@ -57,15 +57,15 @@
 	return slices.Concat(slices.Concat(nearestFirst...), leaders, below), len(nearestFirst[0])
 }
 
-// sortRendezvous sorts peers in an order that is self's own.
+// sortRendezvous sorts peers by rendezvous hashing, in an order specific to self.
 func sortRendezvous(self string, peers []Peer) {
 	slices.SortFunc(peers, func(a, b Peer) int {
 		return cmp.Compare(hashWeight(self, a.Name), hashWeight(self, b.Name))
 	})
 }
 
-// sortedMembers returns self and the reachable peers without a vote, in the order in which
-// all members put them.
+// sortedMembers returns self and the reachable peers that are not voters, in an order that is
+// the same on all members.
 func sortedMembers(self string, peers []Peer, isVoter map[string]bool) []Peer {
 	members := []Peer{{Name: self}}
 	for _, p := range peers {
@@ -79,9 +79,9 @@
 	return members
 }
 
-// splitLayers cuts the members into layers: the first holds as many as capacity says, each
-// other one maxFollowers times as many as the one before. It returns the layers above
-// self's, from the top, and the members of self's own and the lower ones without self.
+// splitLayers divides the members into layers: the first has capacity members, each later one
+// maxFollowers times as many as the previous one. It returns the layers above self's layer,
+// from the top, and the members of self's layer and of the layers below it, without self.
 func splitLayers(self string, members []Peer, capacity int) (above [][]Peer, below []Peer) {
 	reachedOwnLayer := false
 	for len(members) > 0 {
--- a/internal/fleet/replog/ranking_test.go
+++ b/internal/fleet/replog/ranking_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// However many members there are, all find an upstream with capacity. Once those nearer to
-// the leader have theirs, no heartbeat passes more than four members.
+// For every fleet size each member must find an upstream with capacity. If members nearer to
+// the leader select first, no heartbeat may pass more than four members.
 func TestEveryMemberFindsAnUpstream(t *testing.T) {
 	for _, c := range []struct{ voters, peers int }{{3, 1}, {3, 24}, {3, 150}, {3, 300}, {5, 300}} {
 		for _, sorted := range []bool{true, false} {
@@ -19,7 +19,8 @@
 	}
 }
 
-// checkFanOut lets all members choose upstreams: sorted, those nearer to the leader first.
+// checkFanOut simulates the selection of upstreams by all members; if sorted is set, members
+// nearer to the leader select first.
 func checkFanOut(t *testing.T, voterCount, peerCount int, sorted bool) {
 	voters, peers, maxHops := make([]Voter, voterCount), make([]Peer, peerCount), maxPathLength
 	for i := range voters {
@@ -43,8 +44,8 @@
 	for _, p := range peers {
 		candidates[p.Name], _ = rankUpstreams(p.Name, voters, peers, "v0")
 	}
-	for left := peerCount; left > 0; { // a member is placed once one of its upstreams is
-		before := left
+	for unplaced := peerCount; unplaced > 0; { // a member is placed once one of its upstreams is
+		before := unplaced
 		for _, p := range peers {
 			if _, placed := hops[p.Name]; placed {
 				continue
@@ -53,13 +54,13 @@
 				if h, placed := hops[up.Name]; placed && followers[up.Name] < maxFollowers && h < maxHops {
 					hops[p.Name] = h + 1
 					followers[up.Name]++
-					left--
+					unplaced--
 					break
 				}
 			}
 		}
-		if left == before {
-			t.Fatalf("%d find no upstream", left)
+		if unplaced == before {
+			t.Fatalf("%d members find no upstream", unplaced)
 		}
 	}
 	if sorted && peerCount < 16 && followers["v0"] > 0 {
--- a/internal/fleet/replog/replica.go
+++ b/internal/fleet/replog/replica.go
@@ -12,33 +12,33 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// component is the attribute that marks the package's log lines.
+// component is the log attribute that identifies this package.
 var component = slog.String("component", "replog")
 
-// Replica is one member's copy of the log and its part in replicating it. All methods may
-// be called from any goroutine.
+// Replica is one member of the replicated log: it holds the member's copy of the state and
+// takes part in the replication. Its methods may be called from any goroutine.
 type Replica struct {
 	options      Options
 	self         Peer
-	isVoter      bool // named in Options.Voters, whether or not it has its vote now
+	isVoter      bool // named in Options.Voters, whether or not it has a vote now
 	transport    *transport
 	publisher    *publisher
 	initialState *logentry.State // before the first entry
 
-	raft      atomic.Pointer[raft.Raft] // nil while raft does not run here
-	raftLayer atomic.Pointer[raftLayer] // set as long as raft is
-	readyTerm atomic.Uint64             // the term in which it led with all earlier commits applied
-	voterInfo atomic.Pointer[voterInfo] // its answer to actionDescribe; nil without an open voterStore
+	raft      atomic.Pointer[raft.Raft] // nil while raft does not run on this member
+	raftLayer atomic.Pointer[raftLayer] // set while raft is set
+	readyTerm atomic.Uint64             // term in which this member leads with all earlier commits applied
+	voterInfo atomic.Pointer[voterInfo] // the answer to actionDescribe; nil without an open voterStore
 
-	mu            sync.Mutex
-	followers     map[string]*sealedConn // by name
-	leaveUpstream func()                 // ends following the current upstream
-	proposalSlots chan struct{}          // holds one for each proposal under way at this leader
-	stateFile     *stateFile
+	mu             sync.Mutex
+	followers      map[string]*sealedConn // by name
+	cancelUpstream func()                 // ends the session with the current upstream
+	proposalSlots  chan struct{}          // holds one value per proposal in progress at this leader
+	stateFile      *stateFile
 }
 
-// Open validates the options, opens the listener and reads the last state known. An option
-// that can't be used is an *OptionError. A disk that can't be used is not an error: see
+// Open validates the options, opens the listener and loads the last known state. It returns an
+// *OptionError for an invalid option. It returns no error for an unusable disk: see
 // View.DiskError.
 func Open(options Options) (*Replica, error) {
 	options.setDefaults()
@@ -50,11 +50,11 @@
 		return nil, &OptionError{Key: "fleet.record", Err: err}
 	}
 	r := &Replica{
-		options:       options,
-		initialState:  initialState,
-		followers:     map[string]*sealedConn{},
-		leaveUpstream: func() {},
-		proposalSlots: make(chan struct{}, maxProposals),
+		options:        options,
+		initialState:   initialState,
+		followers:      map[string]*sealedConn{},
+		cancelUpstream: func() {},
+		proposalSlots:  make(chan struct{}, maxProposals),
 	}
 	if r.transport, err = newTransport(&options); err != nil {
 		return nil, err
@@ -75,7 +75,8 @@
 	return r, nil
 }
 
-// Run replicates until ctx ends, then writes the last state and closes everything.
+// Run takes part in the replication until ctx ends, then writes the last state and closes all
+// connections and files.
 func (r *Replica) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -83,7 +84,7 @@
 	defer running.Wait()
 	running.Go(func() { r.follow(ctx) })
 	running.Go(func() { r.stateFile.run(ctx) })
-	running.Go(func() { r.watchFreshness(ctx) })
+	running.Go(func() { r.watchLease(ctx) })
 	if r.isVoter {
 		running.Go(func() { r.runVoter(ctx) })
 	}
@@ -91,7 +92,7 @@
 	return r.transport.serve(ctx, func(purpose connPurpose, conn *sealedConn) { r.handleConn(ctx, purpose, conn) })
 }
 
-// handleConn serves a connection that another member opened, until its end.
+// handleConn serves a connection opened by another member until the connection ends.
 func (r *Replica) handleConn(ctx context.Context, purpose connPurpose, conn *sealedConn) {
 	switch purpose {
 	case purposeRaft:
@@ -109,7 +110,7 @@
 	}
 }
 
-// View returns what this member knows now.
+// View returns this member's current view.
 func (r *Replica) View() View {
 	v := *r.publisher.view.Load()
 	isConfirmed := !v.ConfirmedAt.IsZero() && time.Since(v.ConfirmedAt) < r.options.Lease
@@ -117,15 +118,15 @@
 	return v
 }
 
-// Changed returns a channel that is closed at the next change of View other than a later
-// ConfirmedAt. A lease that runs out or is renewed after that is such a change.
+// Changed returns a channel that is closed at the next change of the view, other than a change
+// of only ConfirmedAt and Path. A change of WithinLease closes the channel, too.
 func (r *Replica) Changed() <-chan struct{} {
 	changed, _ := r.publisher.changes()
 	return changed
 }
 
-// IsLeader reports whether this member leads and has applied all that was committed before
-// its term, so that it decides what is proposed next.
+// IsLeader reports whether this member leads and has applied all entries committed before its
+// term. Its state is then current enough to decide on the next proposals.
 func (r *Replica) IsLeader() bool {
 	raftNode := r.raft.Load()
 	return raftNode != nil && raftNode.State() == raft.Leader && r.readyTerm.Load() == raftNode.CurrentTerm()
@@ -134,15 +135,15 @@
 // Addr returns the HOST:PORT at which other members reach this one.
 func (r *Replica) Addr() string { return r.self.Addr }
 
-// watchFreshness publishes the view when the lease runs out, and when it is renewed.
-func (r *Replica) watchFreshness(ctx context.Context) {
+// watchLease notifies the view's waiters when the lease expires and when it is renewed.
+func (r *Replica) watchLease(ctx context.Context) {
 	ticker := time.NewTicker(r.options.heartbeatInterval())
 	defer ticker.Stop()
-	wasFresh := false
+	wasWithinLease := false
 	for {
-		if v := r.View(); v.WithinLease != wasFresh {
-			wasFresh = v.WithinLease
-			if wasFresh {
+		if v := r.View(); v.WithinLease != wasWithinLease {
+			wasWithinLease = v.WithinLease
+			if wasWithinLease {
 				slog.Info("leader contact restored", component, "index", v.State.Index, "leader", v.Leader)
 			} else {
 				slog.Info("leader contact lost, keeping the last committed state", component,
@@ -158,9 +159,9 @@
 	}
 }
 
-// reselectUpstream makes follow choose its upstream anew.
+// reselectUpstream ends the current upstream session, so that follow selects again.
 func (r *Replica) reselectUpstream() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaveUpstream()
+	r.cancelUpstream()
 }
--- a/internal/fleet/replog/sealedconn.go
+++ b/internal/fleet/replog/sealedconn.go
@@ -10,16 +10,16 @@
 	"net"
 )
 
-// maxFrameSize is how much plaintext a frame holds at most, in bytes.
+// maxFrameSize is the maximum plaintext of a frame, in bytes.
 const maxFrameSize = 32 << 10
 
-// errFrame reports a frame that was altered, or sealed with another key.
+// errFrame reports a frame that was altered or sealed with another key.
 var errFrame = errors.New("frame is not sealed with the fleet's key")
 
-// sealedConn is a connection whose every byte is in a sealed frame: two bytes of length,
-// big-endian, and so many of AES-256-GCM with the length as additional data. The nonce counts
-// the frames of its direction. One goroutine may read while another writes. After an error
-// it is of no further use.
+// sealedConn is a connection that transfers all data in sealed frames. A frame is its length
+// (two bytes, big-endian) and that many bytes of AES-256-GCM output, with the length as
+// additional data. The nonce is the number of the frame in its direction. One goroutine may
+// read while another writes. After an error a sealedConn must not be used any more.
 type sealedConn struct {
 	net.Conn
 	reader       *bufio.Reader
@@ -27,16 +27,16 @@
 	sealer       cipher.AEAD
 	framesOpened uint64
 	framesSealed uint64
-	unread       []byte // plaintext of the last frame, not read yet
-	readBuffer   []byte // for the frame that is read
+	unread       []byte // plaintext of the last frame that was not read yet
+	readBuffer   []byte // for the frame being read
 	writeBuffer  []byte // for the frames of one write
-	followerAddr string // address of the follower behind it, from its hello
+	followerAddr string // the follower's address, from its hello
 }
 
-// frameNonce returns the nonce of frame n of a direction.
+// frameNonce returns the nonce of frame n in one direction.
 func frameNonce(n uint64) []byte { return binary.BigEndian.AppendUint64(make([]byte, 4, 12), n) }
 
-// Write seals p in as many frames as it needs and writes them at once.
+// Write seals p in as many frames as needed and writes them in one call.
 func (c *sealedConn) Write(p []byte) (n int, err error) {
 	c.writeBuffer = c.writeBuffer[:0]
 	for rest := p; len(rest) > 0; {
@@ -57,7 +57,7 @@
 	return len(p), nil
 }
 
-// Read returns plaintext, of one frame at most.
+// Read reads plaintext, from at most one frame.
 func (c *sealedConn) Read(p []byte) (int, error) {
 	for len(c.unread) == 0 {
 		if err := c.readFrame(); err != nil {
@@ -69,7 +69,7 @@
 	return n, nil
 }
 
-// readFrame opens the next frame into unread.
+// readFrame reads the next frame and stores its plaintext in unread.
 func (c *sealedConn) readFrame() error {
 	var header [2]byte
 	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
--- a/internal/fleet/replog/sealedconn_test.go
+++ b/internal/fleet/replog/sealedconn_test.go
@@ -14,13 +14,13 @@
 	"pgregory.net/rapid"
 )
 
-// testKey is a fleet key.
+// testKey is the fleet key of tests.
 const testKey = "0123456789abcdef"
 
-// connectedPair returns both ends of a connection, each with its key. wire wraps the dialing
-// end.
+// connectedPair returns both ends of a connection after a handshake with the given keys. wrap
+// wraps the connection of the dialing end.
 func connectedPair(
-	t interface{ Fatal(...any) }, dialedKey, acceptedKey string, wire func(net.Conn) net.Conn,
+	t interface{ Fatal(...any) }, dialedKey, acceptedKey string, wrap func(net.Conn) net.Conn,
 ) (dialed, accepted *sealedConn) {
 	a, b := net.Pipe()
 	for _, c := range []net.Conn{a, b} {
@@ -32,7 +32,7 @@
 		accepted, err = handshake(b, []byte(acceptedKey), false)
 		done <- err
 	}()
-	dialed, err := handshake(wire(a), []byte(dialedKey), true)
+	dialed, err := handshake(wrap(a), []byte(dialedKey), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 	return dialed, accepted
 }
 
-func unaltered(c net.Conn) net.Conn { return c }
+func unwrapped(c net.Conn) net.Conn { return c }
 
-// What is written is read unchanged, in whatever parts it is written and read.
+// Data must arrive unchanged for any sizes of the writes, including writes of several frames.
 func TestFramesArriveUnchangedInAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := connectedPair(t, testKey, testKey, unaltered)
+		a, b := connectedPair(t, testKey, testKey, unwrapped)
 		defer func() { _, _ = a.Close(), b.Close() }()
 		parts := rapid.SliceOfN(rapid.IntRange(0, 3*maxFrameSize), 1, 5).Draw(t, "parts")
 		seed := rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "seed")
@@ -63,27 +63,27 @@
 		}
 		got, _ := io.ReadAll(io.LimitReader(b, int64(len(want))))
 		if !bytes.Equal(got, want) {
-			t.Fatalf("%d bytes read of %d, or different ones", len(got), len(want))
+			t.Fatalf("read %d bytes, want %d; or their contents differ", len(got), len(want))
 		}
 	})
 }
 
-// bitFlipper flips one bit of what is written, at an offset; none at a negative one.
+// bitFlipper flips one bit of the written data, at offset. A negative offset flips none.
 type bitFlipper struct {
 	net.Conn
 	offset, written int
 }
 
-func (s *bitFlipper) Write(p []byte) (int, error) {
-	if at := s.offset - s.written; at >= 0 && at < len(p) {
+func (c *bitFlipper) Write(p []byte) (int, error) {
+	if at := c.offset - c.written; at >= 0 && at < len(p) {
 		p = bytes.Clone(p)
 		p[at] ^= 4
 	}
-	s.written += len(p)
-	return s.Conn.Write(p)
+	c.written += len(p)
+	return c.Conn.Write(p)
 }
 
-// No byte is read of a frame that was altered on its way, or sealed with another key.
+// No data may be read from a frame that was altered in transit or sealed with another key.
 func TestRejectsAlteredFrames(t *testing.T) {
 	const handshakeSize = len(handshakeMagic) + nonceSize
 	text := []byte("an entry of the log")
@@ -111,7 +111,7 @@
 	}
 }
 
-// expectedFrame returns a frame as the wire has it: two bytes of length, and the sealed text.
+// expectedFrame returns a frame in the wire format: two bytes of length, and the sealed text.
 func expectedFrame(t *testing.T, key, salt []byte, direction string, number byte, text string) []byte {
 	t.Helper()
 	derived, err := hkdf.Key(sha256.New, key, salt, "coralrelay-record-1 "+direction, 32)
@@ -131,9 +131,10 @@
 	return append(size, aead.Seal(nil, nonce, []byte(text), size)...)
 }
 
-// handshakeByHand is the other side of a handshake on a. It returns both nonces, the dialing
-// side's first, and the connection that handshake returned.
-func handshakeByHand(t *testing.T, a, b net.Conn, key []byte, isDialer bool) (salt []byte, c *sealedConn) {
+// handshakeAsPeer performs the peer's side of a handshake on a, without the code under test. It
+// returns the salt, which is the dialing side's nonce and then the accepting side's, and the
+// connection that handshake returned.
+func handshakeAsPeer(t *testing.T, a, b net.Conn, key []byte, isDialer bool) (salt []byte, c *sealedConn) {
 	t.Helper()
 	completed := make(chan error, 1)
 	go func() {
@@ -148,7 +149,7 @@
 		_, _ = io.ReadFull(a, other)
 		_, _ = a.Write(own)
 		if string(magic) != "CRF1" {
-			t.Errorf("a handshake begins with %q", magic)
+			t.Errorf("handshake begins with %q", magic)
 		}
 		salt = append(other, own...)
 	} else {
@@ -162,7 +163,8 @@
 	return salt, c
 }
 
-// Handshake and frames are, byte for byte, what a peer of another release sends and expects.
+// Guards compatibility with other releases: handshake and frames must match the wire format
+// byte for byte, in both directions.
 func TestFramesMatchTheWireFormat(t *testing.T) {
 	key := []byte(testKey)
 	for _, isDialer := range []bool{true, false} {
@@ -170,7 +172,7 @@
 		for _, c := range []net.Conn{a, b} {
 			_ = c.SetDeadline(time.Now().Add(testTimeout))
 		}
-		salt, c := handshakeByHand(t, a, b, key, isDialer)
+		salt, c := handshakeAsPeer(t, a, b, key, isDialer)
 		out, in := "caller", "called"
 		if !isDialer {
 			out, in = in, out
--- a/internal/fleet/replog/snapshot.go
+++ b/internal/fleet/replog/snapshot.go
@@ -11,14 +11,14 @@
 	"coralrelay/internal/store"
 )
 
-// snapshot is raft's snapshot, whole in memory since states are small. A store holds one;
-// the next one replaces it in one transaction.
+// snapshot is a raft snapshot. It is kept in memory, since states are small. A store holds one
+// snapshot; the next one replaces it in one transaction.
 type snapshot struct {
 	Meta raft.SnapshotMeta `json:"Meta"`
-	Data []byte            `json:"Data"` // a state as encodeState returns it
+	Data []byte            `json:"Data"` // a state as encoded by encodeState
 }
 
-// index returns the index of the last entry in the snapshot, 0 for no snapshot.
+// index returns the index of the last entry in the snapshot, or 0 if s is nil.
 func (s *snapshot) index() uint64 {
 	if s == nil {
 		return 0
@@ -26,7 +26,7 @@
 	return s.Meta.Index
 }
 
-// decodeSnapshot reads a stored snapshot and checks the state in it.
+// decodeSnapshot decodes a stored snapshot and checks the state in it.
 func decodeSnapshot(encoded []byte) (*snapshot, error) {
 	decoded := &snapshot{}
 	if err := json.Unmarshal(encoded, decoded); err != nil {
@@ -38,7 +38,7 @@
 	return decoded, nil
 }
 
-// snapshotSink collects a snapshot that is being taken, or received from the leader.
+// snapshotSink collects a snapshot that raft is taking, or receiving from the leader.
 type snapshotSink struct {
 	bytes.Buffer
 	store *voterStore
@@ -46,7 +46,7 @@
 	done  bool // closed or cancelled
 }
 
-// Create begins a snapshot: it is raft.SnapshotStore's.
+// Create starts a snapshot. It implements raft.SnapshotStore.
 func (s *voterStore) Create(
 	version raft.SnapshotVersion, index, term uint64,
 	configuration raft.Configuration, configurationIndex uint64, _ raft.Transport,
@@ -62,7 +62,7 @@
 	return &snapshotSink{store: s, meta: meta}, nil
 }
 
-// Write appends a part.
+// Write appends a part of the snapshot, up to maxStateSize in total.
 func (s *snapshotSink) Write(p []byte) (int, error) {
 	if s.Len()+len(p) > maxStateSize {
 		return 0, fmt.Errorf("snapshot: over %d bytes", maxStateSize)
@@ -70,10 +70,10 @@
 	return s.Buffer.Write(p)
 }
 
-// ID returns the snapshot's name: its term and index.
+// ID returns the snapshot's ID: its term and index.
 func (s *snapshotSink) ID() string { return s.meta.ID }
 
-// Cancel drops the snapshot.
+// Cancel discards the snapshot.
 func (s *snapshotSink) Cancel() error {
 	s.done = true
 	return nil
@@ -112,7 +112,7 @@
 	return []*raft.SnapshotMeta{&meta}, nil
 }
 
-// Open returns the snapshot of that ID.
+// Open returns the snapshot with that ID.
 func (s *voterStore) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/fleet/replog/statecodec.go
+++ b/internal/fleet/replog/statecodec.go
@@ -10,8 +10,8 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// encodeState returns a state as snapshots, the state file and messages hold it: the SHA-256
-// of its JSON, and that.
+// encodeState returns the encoding of a state in snapshots, in the state file and in messages:
+// the SHA-256 of the state's JSON, followed by the JSON.
 func encodeState(state *logentry.State) ([]byte, error) {
 	text, err := json.Marshal(state)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return append(sum[:], text...), nil
 }
 
-// decodeState reads a state and checks its hash. Before it is used, AttachGenesis has to
-// accept it.
+// decodeState decodes a state and verifies its checksum. AttachGenesis must accept the state
+// before it is used.
 func decodeState(encoded []byte) (*logentry.State, error) {
 	if len(encoded) < sha256.Size || len(encoded) > maxStateSize {
 		return nil, fmt.Errorf("state: %d bytes", len(encoded))
--- a/internal/fleet/replog/statefile.go
+++ b/internal/fleet/replog/statefile.go
@@ -12,11 +12,11 @@
 	"coralrelay/internal/store"
 )
 
-// stateFileName is the state file's name in Options.Dir.
+// stateFileName is the name of the state file in Options.Dir.
 const stateFileName = "state.db"
 
-// diskRetryInterval is the least time between two writes of the state, and how soon a disk
-// that failed is tried again.
+// diskRetryInterval is the minimum time between two writes of the state, and the time until a
+// failed disk is tried again.
 const diskRetryInterval = time.Second
 
 // The bucket and key of the state file.
@@ -32,19 +32,20 @@
 	return err
 }
 
-// stateFile keeps the last known state on disk, so that a member that starts without any
-// peer has a state to act on. No vote rests on it: it may be behind. One goroutine uses it.
+// stateFile persists the last known state, so that a member that starts with no peer reachable
+// has a state to act on. The file may be out of date, since no vote depends on it. A stateFile
+// must be used by one goroutine at a time.
 type stateFile struct {
 	replica      *Replica
 	store        *store.Store // nil while the file is not open
-	writtenIndex uint64       // of the state in the file
-	failing      bool         // the failure was reported
+	writtenIndex uint64       // index of the state in the file
+	failing      bool         // whether the current failure was reported
 }
 
 func (f *stateFile) path() string { return filepath.Join(f.replica.options.Dir, stateFileName) }
 
-// open opens the file unless it is open, and returns the state in it, nil if there is none.
-// A file that can't be trusted is moved aside, and a fresh one takes its place.
+// open opens the file if it is not open, and returns the state in it, or nil if there is none.
+// A damaged file, or one of another fleet, is quarantined and replaced with a new one.
 func (f *stateFile) open() (*logentry.State, error) {
 	if f.store != nil {
 		return nil, nil
@@ -75,8 +76,8 @@
 	return nil, fmt.Errorf("store %s: a fresh one is bad too", f.path())
 }
 
-// read returns the state in an open file, nil if there is none. With an error comes the
-// label under which the file is to be moved aside.
+// read returns the state in an open file, or nil if there is none. With an error it also
+// returns the label under which the file is to be quarantined.
 func (f *stateFile) read(file *store.Store) (state *logentry.State, label string, err error) {
 	var encoded []byte
 	err = file.View(func(tx *store.Tx) error {
@@ -96,7 +97,7 @@
 	return state, "", nil
 }
 
-// load publishes the state in the file, if there is one.
+// load opens the file and publishes the state in it, if there is one.
 func (f *stateFile) load() {
 	state, err := f.open()
 	if err == nil && state != nil {
@@ -106,8 +107,8 @@
 	f.reportResult(err)
 }
 
-// run writes the state after it has changed, at most once in diskRetryInterval, until ctx
-// ends; then it writes the last state and closes the file.
+// run writes the state after each change, at most once per diskRetryInterval, until ctx ends.
+// Then it writes the last state and closes the file.
 func (f *stateFile) run(ctx context.Context) {
 	ticker := time.NewTicker(diskRetryInterval)
 	defer ticker.Stop()
@@ -121,7 +122,7 @@
 		changed := f.replica.Changed()
 		f.write()
 		select {
-		case <-ticker.C: // the disk may be usable again
+		case <-ticker.C: // retries after a failure of the disk
 		case <-changed:
 		case <-ctx.Done():
 			return
@@ -134,7 +135,7 @@
 	}
 }
 
-// write writes the state if it is later than the one in the file.
+// write writes the current state if it is later than the one in the file.
 func (f *stateFile) write() {
 	_, err := f.open()
 	state := f.replica.publisher.view.Load().State
@@ -144,7 +145,7 @@
 	}
 	if err = f.put(state); err == nil {
 		f.writtenIndex = state.Index
-	} else { // bbolt is not trusted after a write that failed
+	} else { // after a failed write bbolt's state is not relied on
 		_ = f.store.Close()
 		f.store = nil
 	}
@@ -163,23 +164,23 @@
 	return f.store.Update(func(tx *store.Tx) error { return tx.Bucket(stateBucket).Put(stateKey, encoded) })
 }
 
-// reportResult logs and publishes when the disk begins to fail, and when it works again.
+// reportResult logs and publishes a change between a failing and a working disk.
 func (f *stateFile) reportResult(err error) {
 	switch {
 	case err != nil && !f.failing:
 		slog.Warn("state file failed, continuing in memory", component, "error", err)
 	case err == nil && f.failing:
-		slog.Info("state file works again", component)
+		slog.Info("state file usable again", component)
 	default:
 		return
 	}
 	f.failing = err != nil
-	if !f.replica.isVoter { // a voter's DiskError is about its voterStore
+	if !f.replica.isVoter { // a voter's DiskError describes its voterStore
 		f.replica.publisher.updateView(func(v *View) { v.DiskError = errorText(err) })
 	}
 }
 
-// errorText returns the error's text, empty for none.
+// errorText returns the error's text, or an empty string for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/fleet/replog/stored_test.go
+++ b/internal/fleet/replog/stored_test.go
@@ -17,15 +17,16 @@
 	"coralrelay/internal/store"
 )
 
-// The files in testdata/stored were made by
+// The files in testdata/stored are written by
 //
 //	go test ./internal/fleet/logentry -run TestStored -update
 //	go test ./internal/fleet/replog -run TestStored -update
 //
-// state.sealed is the state of logentry's testdata/stored/state.json as encodeState returns
-// it; votes.db and state.db hold it too; messages.txt has a message a line, as a Go string.
+// state.sealed is the state in logentry's testdata/stored/state.json, encoded by encodeState.
+// votes.db and state.db contain the same state. messages.txt has one message per line, quoted
+// as a Go string.
 
-// storedState returns the stored state, and its encoding.
+// storedState returns the stored state and its encoding.
 func storedState(t *testing.T) (state *logentry.State, encoded []byte) {
 	t.Helper()
 	encoded = storedtest.ReadFile(t, "state.sealed", func() []byte { return encodeLogentryState(t) })
@@ -36,7 +37,7 @@
 	return state, encoded
 }
 
-// encodeLogentryState returns the encoding of the state that package logentry has stored.
+// encodeLogentryState returns the encoding of the stored state of package logentry.
 func encodeLogentryState(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../logentry/testdata/stored/state.json")
@@ -58,15 +59,15 @@
 	s, sealed := storedState(t)
 	if s.Index != 12 || s.Genesis.Zones.StoreSetupRate != 900 || s.Zones.Shed != 0.14 ||
 		s.Accounts.Nodes["acme/web"].Overcommit != 1.25 || s.Contracts.Allocations[0].UnmetReason != "no room" {
-		t.Errorf("read as %+v", s)
+		t.Errorf("decoded state %+v", s)
 	}
 	if written, err := encodeState(s); err != nil || !bytes.Equal(written, sealed) {
-		t.Errorf("written now: %q, %v; stored: %q", written, err, sealed)
+		t.Errorf("encoded now: %q, %v; stored: %q", written, err, sealed)
 	}
 }
 
-// assertStoredStore checks that a store that was written now has the contents of the stored
-// one, and returns a folder with a copy of the latter.
+// assertStoredStore checks that the store at path written has the contents of the stored one,
+// and returns a directory with a copy of the stored one.
 func assertStoredStore(t *testing.T, written, kind string) (dir string) {
 	t.Helper()
 	name := filepath.Base(written)
@@ -86,7 +87,7 @@
 	return dir
 }
 
-// storeContents returns all that a store holds, by bucket and key, except its random ID.
+// storeContents returns a store's values by bucket and key, except its random ID.
 func storeContents(t *testing.T, path, kind string) map[string]string {
 	t.Helper()
 	schema := store.Schema{Kind: kind, Migrations: make([]func(*store.Tx) error, 1)}
@@ -108,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if all["meta/id"] != string(st.ID[:]) {
-		t.Errorf("%s: its ID %x is read as %x", path, all["meta/id"], st.ID)
+		t.Errorf("%s: stored ID %x is read as %x", path, all["meta/id"], st.ID)
 	}
 	delete(all, "meta/id")
 	return all
@@ -117,16 +118,16 @@
 func openTestStore(t *testing.T, dir string) *voterStore {
 	t.Helper()
 	options := Options{Dir: dir, InjectFault: func(string) error { return nil }}
-	d, quarantineReason, err := openVoterStore(&options, func() {})
+	s, quarantineReason, err := openVoterStore(&options, func() {})
 	if err != nil || quarantineReason != "" {
 		t.Fatal(quarantineReason, err)
 	}
-	t.Cleanup(func() { _ = d.close() })
-	return d
+	t.Cleanup(func() { _ = s.close() })
+	return s
 }
 
-// A voter reads its log, its term and vote, the bootstrap's stores and the snapshot from a
-// stored file, and writes them the same.
+// Guards the format of votes.db: a voter must read its log, term, vote, bootstrap stores and
+// snapshot from the stored file, and must write them in the same format.
 func TestStoredVotes(t *testing.T) {
 	_, sealed := storedState(t)
 	servers := raft.Configuration{Servers: []raft.Server{
@@ -143,46 +144,47 @@
 		Version: 1, ID: "3-2", Index: 2, Term: 3, Configuration: servers, ConfigurationIndex: 1, Size: int64(len(sealed))}
 
 	written := t.TempDir()
-	d := openTestStore(t, written)
-	sink, err := d.Create(1, 2, 3, servers, 1, nil)
+	s := openTestStore(t, written)
+	sink, err := s.Create(1, 2, 3, servers, 1, nil)
 	if err == nil {
 		_, err = sink.Write(sealed)
 	}
 	err = errors.Join(
 		err,
-		d.bootstrap(servers, stores),
-		d.StoreLogs(logs),
-		d.SetUint64([]byte("CurrentTerm"), 9),
-		d.SetUint64([]byte("LastVoteTerm"), 8),
-		d.Set([]byte("LastVoteCand"), []byte("127.0.0.1:7002")),
+		s.bootstrap(servers, stores),
+		s.StoreLogs(logs),
+		s.SetUint64([]byte("CurrentTerm"), 9),
+		s.SetUint64([]byte("LastVoteTerm"), 8),
+		s.Set([]byte("LastVoteCand"), []byte("127.0.0.1:7002")),
 		sink.Close(),
-		d.close(),
+		s.close(),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	d = openTestStore(t, assertStoredStore(t, filepath.Join(written, "votes.db"), "fleet-votes"))
-	if d.firstIndex != 1 || d.lastIndex != 4 || !reflect.DeepEqual(raft.DecodeConfiguration(d.entries[1].Data), servers) {
-		t.Errorf("a log from %d to %d, its first %+v", d.firstIndex, d.lastIndex, d.entries[1])
+	s = openTestStore(t, assertStoredStore(t, filepath.Join(written, "votes.db"), "fleet-votes"))
+	if s.firstIndex != 1 || s.lastIndex != 4 || !reflect.DeepEqual(raft.DecodeConfiguration(s.entries[1].Data), servers) {
+		t.Errorf("log from %d to %d, first entry %+v", s.firstIndex, s.lastIndex, s.entries[1])
 	}
 	for _, want := range logs {
-		if got := d.entries[want.Index]; !reflect.DeepEqual(got, want) {
+		if got := s.entries[want.Index]; !reflect.DeepEqual(got, want) {
 			t.Errorf("entry %+v, want %+v", got, want)
 		}
 	}
-	term, _ := d.GetUint64([]byte("CurrentTerm"))
-	voteTerm, _ := d.GetUint64([]byte("LastVoteTerm"))
-	vote, _ := d.Get([]byte("LastVoteCand"))
-	if term != 9 || voteTerm != 8 || string(vote) != "127.0.0.1:7002" || !maps.Equal(d.bootstrapStores, stores) {
-		t.Errorf("term %d, a vote in %d for %q, bootstrap stores %v", term, voteTerm, vote, d.bootstrapStores)
+	term, _ := s.GetUint64([]byte("CurrentTerm"))
+	voteTerm, _ := s.GetUint64([]byte("LastVoteTerm"))
+	vote, _ := s.Get([]byte("LastVoteCand"))
+	if term != 9 || voteTerm != 8 || string(vote) != "127.0.0.1:7002" || !maps.Equal(s.bootstrapStores, stores) {
+		t.Errorf("term %d, vote in term %d for %q, bootstrap stores %v", term, voteTerm, vote, s.bootstrapStores)
 	}
-	if d.snapshot == nil || !reflect.DeepEqual(d.snapshot.Meta, meta) || !bytes.Equal(d.snapshot.Data, sealed) {
-		t.Errorf("snapshot %+v, want %+v", d.snapshot, meta)
+	if s.snapshot == nil || !reflect.DeepEqual(s.snapshot.Meta, meta) || !bytes.Equal(s.snapshot.Data, sealed) {
+		t.Errorf("snapshot %+v, want %+v", s.snapshot, meta)
 	}
 }
 
-// A member reads the last known state from a stored file, and writes it the same.
+// Guards the format of state.db: a member must read the last known state from the stored file,
+// and must write it in the same format.
 func TestStoredStateFile(t *testing.T) {
 	want, _ := storedState(t)
 	file := func(dir string) *stateFile {
@@ -206,6 +208,6 @@
 	}
 	stored := file(assertStoredStore(t, written.path(), "fleet-state"))
 	if s, err := stored.open(); err != nil || stored.store.QuarantinePath != "" || !reflect.DeepEqual(s, want) {
-		t.Errorf("read as %+v, %v; want %+v", s, err, want)
+		t.Errorf("decoded state %+v, %v; want %+v", s, err, want)
 	}
 }
--- a/internal/fleet/replog/storedmessages_test.go
+++ b/internal/fleet/replog/storedmessages_test.go
@@ -13,7 +13,7 @@
 	"coralrelay/internal/fleet/storedtest"
 )
 
-// storedHash returns a hash whose bytes all differ.
+// storedHash returns a hash in which all bytes differ.
 func storedHash() (h logentry.Hash) {
 	for i := range h {
 		h[i] = byte(i + 1)
@@ -44,17 +44,18 @@
 	}
 }
 
-// Messages are written and read as the stored ones.
+// Guards the format of messages: each kind must be encoded as the stored message, and the
+// stored message must decode to the same value.
 func TestStoredMessages(t *testing.T) {
 	var written bytes.Buffer
-	line := func(message []byte) { written.WriteString(strconv.Quote(string(message)) + "\n") }
+	writeLine := func(message []byte) { written.WriteString(strconv.Quote(string(message)) + "\n") }
 	messages := storedJSONMessages()
 	for _, m := range messages {
 		var message bytes.Buffer
 		if err := writeJSON(&message, m.kind, m.value); err != nil {
 			t.Fatal(err)
 		}
-		line(message.Bytes())
+		writeLine(message.Bytes())
 		for field, value := range reflect.ValueOf(m.value).Elem().Fields() {
 			if value.IsZero() {
 				t.Errorf("%T.%s: no stored value has it set", m.value, field.Name)
@@ -62,18 +63,18 @@
 		}
 	}
 	entry := []byte(`{"kind":"settings","by":"m1","at":1,"body":{}}`)
-	line(plaintextOf(t, func(c *sealedConn) error { return writeMessage(c, msgProposal, entry) }))
-	line(plaintextOf(t, func(c *sealedConn) error {
+	writeLine(plaintextOf(t, func(c *sealedConn) error { return writeMessage(c, msgProposal, entry) }))
+	writeLine(plaintextOf(t, func(c *sealedConn) error {
 		return writeMessage(c, msgSequence, binary.BigEndian.AppendUint64(nil, 2))
 	}))
-	up := newBareReplica(t, "up")
-	next, _ := up.View().State.Apply(entry)
-	up.publisher.publishState(next, entry)
-	line(plaintextOf(t, func(c *sealedConn) error {
-		_, err := up.sendEntriesAfter(c, 0)
+	upstream := newBareReplica(t, "up")
+	next, _ := upstream.View().State.Apply(entry)
+	upstream.publisher.publishState(next, entry)
+	writeLine(plaintextOf(t, func(c *sealedConn) error {
+		_, err := upstream.sendEntriesAfter(c, 0)
 		return err
 	}))
-	line([]byte{byte(purposeRaft), byte(purposeFollow), byte(purposePropose), byte(purposeVoterRequest)})
+	writeLine([]byte{byte(purposeRaft), byte(purposeFollow), byte(purposePropose), byte(purposeVoterRequest)})
 
 	stored := storedtest.AssertFile(t, "messages.txt", written.Bytes())
 	received := storedFrames(t, stored)
@@ -86,54 +87,55 @@
 	assertBinaryMessagesRead(t, received[len(messages):], entry, next.Hash)
 }
 
-// assertBinaryMessagesRead reads a proposal, a sequence number and an entry, the latter two
-// as their receivers do.
+// assertBinaryMessagesRead checks that a proposal, a sequence number and an entry are read
+// correctly, the last two by the functions that receive them.
 func assertBinaryMessagesRead(t *testing.T, received []io.Reader, entry []byte, hash logentry.Hash) {
 	t.Helper()
 	kind, payload, err := readMessage(received[0], maxEntryMessageSize)
 	if err != nil || kind != msgProposal || !bytes.Equal(payload, entry) {
-		t.Errorf("a proposal is read as %q %q, %v", kind, payload, err)
+		t.Errorf("proposal is read as %q %q, %v", kind, payload, err)
 	}
 	if err := (&upstreamClock{lastSequence: 1, acknowledged: true}).readSequence(received[1]); err != nil {
-		t.Errorf("a sequence number: %v", err)
+		t.Errorf("sequence number: %v", err)
 	}
-	down := newBareReplica(t, "down")
+	follower := newBareReplica(t, "down")
 	kind, payload, err = readMessage(received[2], maxEntryMessageSize)
 	if err == nil {
-		err = down.applyEntry(payload)
+		err = follower.applyEntry(payload)
 	}
-	if s := down.View().State; err != nil || kind != msgEntry || s.Index != 1 || s.Hash != hash {
-		t.Errorf("an entry is read as %q, %v; the state is at %d", kind, err, s.Index)
+	if s := follower.View().State; err != nil || kind != msgEntry || s.Index != 1 || s.Hash != hash {
+		t.Errorf("entry is read as %q, %v; state at index %d", kind, err, s.Index)
 	}
 }
 
-// A whole state is sent as its encoding in a message, and is accepted.
+// Guards the format of msgState: a complete state must be sent as its encoding in a message, and
+// the receiver must accept it.
 func TestStoredStateMessage(t *testing.T) {
 	s, sealed := storedState(t)
-	up, down := newBareReplica(t, "up"), newBareReplica(t, "down")
-	down.options.Genesis = s.Genesis
-	up.publisher.publishState(s, nil)
+	upstream, follower := newBareReplica(t, "up"), newBareReplica(t, "down")
+	follower.options.Genesis = s.Genesis
+	upstream.publisher.publishState(s, nil)
 	frame := plaintextOf(t, func(c *sealedConn) error {
-		_, err := up.sendEntriesAfter(c, 0)
+		_, err := upstream.sendEntriesAfter(c, 0)
 		return err
 	})
 	want := append(binary.BigEndian.AppendUint32([]byte("s"), uint32(len(sealed))), sealed...)
 	if !bytes.Equal(frame, want) {
-		t.Errorf("written now: %q, want %q", frame, want)
+		t.Errorf("encoded now: %q, want %q", frame, want)
 	}
 	_, text, err := readMessage(bytes.NewReader(frame), maxStateSize)
 	if err == nil {
-		err = down.applyState(text)
+		err = follower.applyState(text)
 	}
-	if got := down.View().State; err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("read as %+v, %v; want %+v", got, err, s)
+	if got := follower.View().State; err != nil || !reflect.DeepEqual(got, s) {
+		t.Errorf("decoded state %+v, %v; want %+v", got, err, s)
 	}
 }
 
-// plaintextOf returns what write writes to a connection, as its other end reads it.
+// plaintextOf returns the data that write writes to a connection, as read at its other end.
 func plaintextOf(t *testing.T, write func(*sealedConn) error) []byte {
 	t.Helper()
-	dialed, accepted := connectedPair(t, testKey, testKey, unaltered)
+	dialed, accepted := connectedPair(t, testKey, testKey, unwrapped)
 	defer func() { _ = accepted.Close() }()
 	failed := make(chan error, 1)
 	go func() { failed <- errors.Join(write(dialed), dialed.Close()) }()
@@ -144,7 +146,7 @@
 	return plain
 }
 
-// storedFrames reads the stored messages, one a line.
+// storedFrames returns a reader for each stored message; stored has one message per line.
 func storedFrames(t *testing.T, stored []byte) (all []io.Reader) {
 	t.Helper()
 	for quoted := range bytes.Lines(stored) {
--- a/internal/fleet/replog/testfleet_test.go
+++ b/internal/fleet/replog/testfleet_test.go
@@ -21,26 +21,27 @@
 // testTimeout is how long a test waits for an event before it fails.
 const testTimeout = 10 * time.Second
 
-// fleetCount numbers the fleets of this process, so that each has ports of its own.
+// fleetCount numbers the fleets of this process, so that each uses different ports.
 var fleetCount atomic.Int32
 
-// testFleet is members in one process, on loopback addresses of the test's own.
+// testFleet is a fleet of members in one process, on loopback addresses specific to the process.
 type testFleet struct {
 	t       *testing.T
 	voters  []Voter
 	members map[string]*testMember
 }
 
-// testMember is a member that runs until kill.
+// testMember is a member that runs until kill is called.
 type testMember struct {
 	*Replica
 	options  Options
-	diskFull atomic.Bool // its writes fail
+	diskFull atomic.Bool // whether its disk writes fail
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
 
-// newFleet starts voters v0, v1 ... in zones z0, z1 ...; the test's end kills all members.
+// newFleet starts voters v0, v1 ... in zones z0, z1 ...; all members are killed when the test
+// ends.
 func newFleet(t *testing.T, voters int) *testFleet {
 	f := &testFleet{t: t, members: map[string]*testMember{}}
 	port, pid := 2000+32*int(fleetCount.Add(1)), os.Getpid()
@@ -62,7 +63,7 @@
 	return f
 }
 
-// start starts a member with a disk of its own; edit may be nil.
+// start starts a member with its own directory. edit may be nil.
 func (f *testFleet) start(name, bind string, edit func(*Options)) *testMember {
 	f.t.Helper()
 	m := &testMember{done: make(chan struct{})}
@@ -97,13 +98,13 @@
 	return m
 }
 
-// kill ends a member as a signal would, and waits for that.
+// kill stops a member as a signal would, and waits until it has stopped.
 func (m *testMember) kill() {
 	m.cancel()
 	<-m.done
 }
 
-// restart starts a member that was killed, on the same disk; edit may be nil.
+// restart starts a killed member again with the same directory. edit may be nil.
 func (f *testFleet) restart(m *testMember, edit func(*Options)) *testMember {
 	return f.start(m.options.Name, m.options.Bind, func(o *Options) {
 		o.Dir = m.options.Dir
@@ -113,8 +114,8 @@
 	})
 }
 
-// await waits until a member's view is ok.
-func (f *testFleet) await(m *testMember, what string, ok func(View) bool) View {
+// await waits until ok returns true for a member's view. condition describes ok.
+func (f *testFleet) await(m *testMember, condition string, ok func(View) bool) View {
 	f.t.Helper()
 	for deadline := time.After(testTimeout); ; {
 		changed := m.Changed()
@@ -125,12 +126,12 @@
 		case <-changed:
 		case <-deadline:
 			v := m.View()
-			f.t.Fatalf("%s: not %s; index %d, %+v", m.options.Name, what, v.State.Index, v)
+			f.t.Fatalf("%s: not %s; index %d, %+v", m.options.Name, condition, v.State.Index, v)
 		}
 	}
 }
 
-// awaitLeader waits for a leader within its lease, other than those excluded.
+// awaitLeader waits for a leader within its lease that is not in excluded.
 func (f *testFleet) awaitLeader(excluded ...*testMember) *testMember {
 	f.t.Helper()
 	found := make(chan *testMember, len(f.voters))
@@ -167,7 +168,8 @@
 	}
 }
 
-// zonesEntry is an entry that is accepted on a version, and makes the next one.
+// zonesEntry returns an entry that is accepted at a version of the zones and creates the next
+// version.
 func zonesEntry(version uint64) logentry.Entry {
 	change := zonestatus.Change{
 		BaseVersion: version,
@@ -178,7 +180,7 @@
 	return logentry.Entry{Kind: logentry.KindZones, ProposedBy: "test", Body: body}
 }
 
-// propose has a member propose an entry that is accepted.
+// propose proposes an entry through a member, and fails the test unless it is accepted.
 func (f *testFleet) propose(m *testMember) logentry.Outcome {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -190,21 +192,21 @@
 	return out
 }
 
-// awaitAll waits until the views of all members are ok.
-func (f *testFleet) awaitAll(what string, ok func(View) bool) {
+// awaitAll waits until ok returns true for the views of all members.
+func (f *testFleet) awaitAll(condition string, ok func(View) bool) {
 	f.t.Helper()
 	for _, m := range f.members {
-		f.await(m, what, ok)
+		f.await(m, condition, ok)
 	}
 }
 
-// startFollower starts follower fN, on the first voter's address.
+// startFollower starts the follower named f followed by n, on the first voter's IP address.
 func startFollower(f *testFleet, n int) *testMember {
 	at := netip.MustParseAddrPort(f.voters[0].Addr)
 	return f.start(fmt.Sprintf("f%d", n), netip.AddrPortFrom(at.Addr(), at.Port()+uint16(n)).String(), nil)
 }
 
-// freshAtIndex reports whether a view is within the lease and has that entry.
+// freshAtIndex returns a condition: the view is within the lease and has entry n.
 func freshAtIndex(n uint64) func(View) bool {
 	return func(v View) bool { return v.State.Index >= n && v.WithinLease }
 }
--- a/internal/fleet/replog/transport.go
+++ b/internal/fleet/replog/transport.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	maxHandshakes = 32  // at once; one more closes the oldest
-	maxConns      = 256 // accepted from members that hold the key
+	maxHandshakes = 32  // concurrent; one more closes the oldest
+	maxConns      = 256 // accepted connections of peers that hold the key
 
 	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// transport accepts and dials all connections between members: raft's, followers' and those
-// for single requests. Its port is the only one of the package.
+// transport accepts and dials all connections between members: those of raft, of followers and
+// for single requests. It listens on the only port that the package uses.
 type transport struct {
 	net.Listener
 	key     []byte
-	localIP net.IP // outgoing connections leave from here
+	localIP net.IP // source address of outgoing connections
 
 	mu          sync.Mutex
-	handshaking []net.Conn // the oldest first
+	handshaking []net.Conn // oldest first
 	conns       map[net.Conn]struct{}
 	serving     sync.WaitGroup
 }
 
-// connHandler serves a connection for its purpose until it is done with.
+// connHandler serves a connection according to its purpose, until it is no longer needed.
 type connHandler func(purpose connPurpose, conn *sealedConn)
 
-// newTransport opens the listener.
+// newTransport opens the listener on options.Bind.
 func newTransport(options *Options) (*transport, error) {
 	listener, err := net.Listen("tcp", options.Bind)
 	if err != nil {
@@ -46,8 +46,8 @@
 	}, nil
 }
 
-// serve has each connection of a member handled in a goroutine of its own, until ctx ends.
-// Then it closes all connections and returns after the last handler.
+// serve accepts connections and serves each in its own goroutine until ctx ends. It then
+// closes all connections, and returns after the last handler has.
 func (t *transport) serve(ctx context.Context, handle connHandler) error {
 	stop := context.AfterFunc(ctx, t.closeAll)
 	defer stop()
@@ -60,7 +60,7 @@
 			}
 			return nil
 		}
-		if err != nil { // one client's fault, or too many open files: the listener goes on
+		if err != nil { // caused by a client or by too many open files: keep listening
 			select {
 			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
@@ -85,7 +85,7 @@
 	}
 }
 
-// addHandshake notes a connection that has yet to show that it holds the key.
+// addHandshake registers a connection whose peer has not yet proven that it holds the key.
 func (t *transport) addHandshake(conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +96,7 @@
 	t.handshaking = append(t.handshaking, conn)
 }
 
-// removeHandshake forgets a connection that addHandshake noted. The caller holds mu.
+// removeHandshake unregisters a connection after its handshake. The caller holds mu.
 func (t *transport) removeHandshake(conn net.Conn) {
 	for i := range t.handshaking {
 		if t.handshaking[i] == conn {
@@ -106,8 +106,8 @@
 	}
 }
 
-// serveConn handles a connection if its peer holds the key. Until its first frame is opened
-// a peer costs one key derivation, and is cut off after handshakeTimeout.
+// serveConn serves a connection if its peer holds the key. A peer whose first frame is not
+// opened has cost one key derivation, and is disconnected after handshakeTimeout.
 func (t *transport) serveConn(ctx context.Context, conn net.Conn, handle connHandler) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -133,7 +133,7 @@
 	handle(connPurpose(purpose[0]), sealed)
 }
 
-// dial connects to a member. The timeout bounds the connecting and then the handshake.
+// dial connects to a member. The timeout applies to connecting, and again to the handshake.
 func (t *transport) dial(
 	ctx context.Context, addr string, purpose connPurpose, timeout time.Duration,
 ) (*sealedConn, error) {
--- a/internal/fleet/replog/view.go
+++ b/internal/fleet/replog/view.go
@@ -6,23 +6,24 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// The roles of a member, as View.Role.
+// The values of View.Role.
 const (
 	RoleLeader   = "leader"
 	RoleVoter    = "voter"
-	RoleFollower = "follower" // not among the voters
-	RoleWaiting  = "waiting"  // among the voters, but without a vote yet
-	RoleMemory   = "memory"   // among the voters, without a vote since its disk can't be used
+	RoleFollower = "follower" // not in Options.Voters
+	RoleWaiting  = "waiting"  // in Options.Voters, but without a vote yet
+	RoleMemory   = "memory"   // in Options.Voters, but without a vote since its disk is unusable
 )
 
-// View is what a member knows at one time. It is not changed after it was returned.
+// View is a member's knowledge of the log and the fleet at one time. It is never modified after
+// it was returned.
 type View struct {
-	State         *logentry.State // all committed entries known here add up to it
-	ConfirmedAt   time.Time       // the latest time at which the leader was known to lead, by this process's clock
+	State         *logentry.State // the result of all committed entries known to this member
+	ConfirmedAt   time.Time       // last time the leader was known to lead, by this process's clock
 	WithinLease   bool            // whether ConfirmedAt is less than a lease ago
 	Role          string          // one of the Role constants
-	Leader        string          // the leader's name, as far as known
-	DiskError     string          // why the disk can't be used; empty if it can
-	Path          []string        // members by which the last heartbeat came, from the leader to the upstream
+	Leader        string          // the leader's name; empty if none is known
+	DiskError     string          // why the disk is unusable; empty if it is usable
+	Path          []string        // members that relayed the last heartbeat, from the leader to the upstream
 	FollowerCount int             // followers that this member serves
 }
--- a/internal/fleet/replog/voter.go
+++ b/internal/fleet/replog/voter.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// trailingLogs is after how many entries raft takes a snapshot, and how many it keeps
-	// behind one for voters that were away for a moment.
+	// trailingLogs is the number of entries after which raft takes a snapshot, and the number
+	// that it keeps before a snapshot for voters that were briefly disconnected.
 	trailingLogs = 1024
 
-	// maxDiskRetryInterval bounds the backoff of a voter whose disk comes back and fails again.
+	// maxDiskRetryInterval bounds the backoff of a voter whose disk fails repeatedly.
 	maxDiskRetryInterval = 30 * time.Second
 
-	// raftPoolSize is how many idle connections raft keeps to each voter.
+	// raftPoolSize is the number of idle connections that raft keeps to each voter.
 	raftPoolSize = 3
 )
 
-// runVoter keeps this member's vote for as long as its disk can be written. When it can't,
-// the member goes on in memory, as a follower, and probes the disk until it can.
+// runVoter runs raft while the disk is writable. When the disk fails, this member continues in
+// memory as a follower and probes the disk until it is writable again.
 func (r *Replica) runVoter(ctx context.Context) {
 	retryDelay := diskRetryInterval
 	for ctx.Err() == nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// awaitDisk probes the disk at an interval until it takes writes. It returns false if ctx
-// ended first.
+// awaitDisk probes the disk at an interval until it is writable. It returns false if ctx ends
+// first.
 func (r *Replica) awaitDisk(ctx context.Context, interval time.Duration) bool {
 	for {
 		select {
@@ -62,8 +62,8 @@
 	}
 }
 
-// probeDisk checks that the disk takes what a vote would need: fresh blocks, at an offset
-// behind all that the store has.
+// probeDisk checks that the disk accepts the kind of write that a vote may need: newly
+// allocated blocks, at an offset past the end of the store's file.
 func (r *Replica) probeDisk() error {
 	if err := r.options.InjectFault("probe"); err != nil {
 		return err
@@ -74,15 +74,15 @@
 		end = info.Size()
 	}
 	path := filepath.Join(r.options.Dir, "probe")
-	file, err := os.Create(path)
+	probeFile, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	_, err = file.WriteAt(make([]byte, size), end)
-	return errors.Join(err, file.Sync(), file.Close(), os.Remove(path))
+	_, err = probeFile.WriteAt(make([]byte, size), end)
+	return errors.Join(err, probeFile.Sync(), probeFile.Close(), os.Remove(path))
 }
 
-// runRaft runs raft until ctx ends or the disk fails, and returns why.
+// runRaft runs raft until ctx ends or the disk fails, and returns the cause.
 func (r *Replica) runRaft(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,7 +130,7 @@
 	return r.superviseRaft(ctx, raftNode, votes, raftEvents{leadership, leaderChanges})
 }
 
-// raftConfig returns raft's configuration; raft reports on leadership whether it leads.
+// raftConfig returns raft's configuration. Raft sends on leadership whether it leads.
 func (r *Replica) raftConfig(leadership chan<- bool) *raft.Config {
 	electionTimeout := r.options.electionTimeout()
 	config := raft.DefaultConfig()
--- a/internal/fleet/replog/voterstore.go
+++ b/internal/fleet/replog/voterstore.go
@@ -14,7 +14,7 @@
 	"coralrelay/internal/store"
 )
 
-// votesFileName is the voter store's file in Options.Dir.
+// votesFileName is the name of the voter store's file in Options.Dir.
 const votesFileName = "votes.db"
 
 // The buckets and keys of the voter store.
@@ -41,31 +41,31 @@
 // storeIDs maps voters to the IDs of their stores.
 type storeIDs map[string]string
 
-// voterStore is what a voter must not forget: its log, its term and vote, a snapshot, and
-// the stores with which the fleet was bootstrapped. It is raft's LogStore, StableStore and
-// SnapshotStore. All of it is in memory too, since raft panics if it can't read. After a
-// write that failed nothing more is written until the store is opened anew.
+// voterStore persists what a voter must not lose: its log, its term and vote, a snapshot, and
+// the IDs of the stores that the fleet was bootstrapped with. It implements raft's LogStore,
+// StableStore and SnapshotStore. It also holds all of this in memory, since raft panics after
+// a failed read. After a failed write it accepts no further writes; it must be reopened.
 type voterStore struct {
-	store          *store.Store
-	injectFault    func(op string) error
-	cutConnections func()        // called before a failed write returns: nothing that rests on it may go out
-	failed         chan struct{} // closed at the first failure
-	writeMu        sync.Mutex    // held during a write; guards writeErr
-	writeErr       error
+	store       *store.Store
+	injectFault func(op string) error
+	closeConns  func()        // called before a failed write returns, so that nothing relying on it is sent
+	failed      chan struct{} // closed at the first failure
+	writeMu     sync.Mutex    // held during a write; guards writeErr
+	writeErr    error
 
 	mu              sync.RWMutex // guards the copy in memory
 	entries         map[uint64]*raft.Log
 	firstIndex      uint64 // 0 for none
 	lastIndex       uint64 // 0 for none
 	stable          map[string][]byte
-	pendingVoteTerm []byte // a vote's term, until its candidate is known: see Set
+	pendingVoteTerm []byte // a vote's term, until its candidate is set; see Set
 	snapshot        *snapshot
 	bootstrapStores storeIDs
 }
 
-// openVoterStore opens a voter's store. One that can't be trusted is moved aside, and
-// quarantineReason says why. cutConnections is called before a failed write returns.
-func openVoterStore(options *Options, cutConnections func()) (s *voterStore, quarantineReason string, err error) {
+// openVoterStore opens a voter's store. It quarantines a damaged store and opens a new one;
+// quarantineReason is then not empty. closeConns is called before a failed write returns.
+func openVoterStore(options *Options, closeConns func()) (s *voterStore, quarantineReason string, err error) {
 	path := filepath.Join(options.Dir, votesFileName)
 	for range 2 {
 		if err := options.InjectFault("open"); err != nil {
@@ -81,7 +81,7 @@
 		s = &voterStore{
 			store:           file,
 			injectFault:     options.InjectFault,
-			cutConnections:  cutConnections,
+			closeConns:      closeConns,
 			failed:          make(chan struct{}),
 			entries:         map[uint64]*raft.Log{},
 			stable:          map[string][]byte{},
@@ -101,7 +101,7 @@
 	return nil, quarantineReason, fmt.Errorf("store %s: a fresh one is bad too", path)
 }
 
-// load reads everything into memory and checks it.
+// load reads the store's contents into memory and checks them.
 func (s *voterStore) load() error {
 	return s.store.View(func(tx *store.Tx) error {
 		if err := tx.Bucket(logsBucket).ForEach(s.loadEntry); err != nil {
@@ -113,8 +113,8 @@
 				return err
 			}
 		}
-		if covered := s.snapshot.index(); s.firstIndex > covered+1 {
-			return fmt.Errorf("the log begins at %d, and the snapshot ends at %d", s.firstIndex, covered)
+		if snapshotEnd := s.snapshot.index(); s.firstIndex > snapshotEnd+1 {
+			return fmt.Errorf("the log begins at %d, and the snapshot ends at %d", s.firstIndex, snapshotEnd)
 		}
 		if value := tx.Bucket(bootstrapBucket).Get(bootstrapStoresKey); value != nil {
 			if err := json.Unmarshal(value, &s.bootstrapStores); err != nil {
@@ -128,7 +128,7 @@
 	})
 }
 
-// loadEntry reads one entry of the log, which must follow on the last one.
+// loadEntry reads one entry of the log into memory. Its index must follow the last one's.
 func (s *voterStore) loadEntry(key, value []byte) error {
 	entry, err := decodeLog(value)
 	if err != nil {
@@ -146,15 +146,16 @@
 	return nil
 }
 
-// isBlank reports whether this store has never held a term, a vote, an entry or a snapshot.
+// isBlank reports whether this store holds no term, vote, entry or snapshot.
 func (s *voterStore) isBlank() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.lastIndex == 0 && s.snapshot == nil && len(s.stable) == 0
 }
 
-// update writes one transaction, and then applies it to the copy in memory, with mu held.
-// op names it in errors and to InjectFault. The first failure ends all writing.
+// update commits one transaction, and then calls applyInMemory with mu held to update the copy
+// in memory. op names the transaction in errors and for InjectFault. After the first failure
+// every further call returns that failure.
 func (s *voterStore) update(op string, write func(*store.Tx) error, applyInMemory func()) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -167,7 +168,7 @@
 	}
 	if err != nil {
 		s.writeErr = fmt.Errorf("%s: %w", op, err)
-		s.cutConnections()
+		s.closeConns()
 		close(s.failed)
 		return s.writeErr
 	}
@@ -177,14 +178,14 @@
 	return nil
 }
 
-// failure returns why writing has ended.
+// failure returns the error of the first failed write, or nil.
 func (s *voterStore) failure() error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	return s.writeErr
 }
 
-// bootstrap begins a log with its first configuration, in one transaction.
+// bootstrap writes the log's first configuration and the bootstrap's stores in one transaction.
 func (s *voterStore) bootstrap(configuration raft.Configuration, stores storeIDs) error {
 	first := &raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(configuration)}
 	encodedStores, err := json.Marshal(stores)
@@ -206,5 +207,5 @@
 	})
 }
 
-// close closes the file; nothing of the store may be used after it.
+// close closes the file. The store must not be used afterwards.
 func (s *voterStore) close() error { return s.store.Close() }
--- a/internal/fleet/replog/voterstore_test.go
+++ b/internal/fleet/replog/voterstore_test.go
@@ -9,38 +9,38 @@
 	"github.com/hashicorp/raft"
 )
 
-// A leader whose disk fills up during a proposal steps down, goes on in memory and is a
-// voter again when the disk takes writes.
+// A leader whose disk fills up during a proposal must step down, continue in memory, and become
+// a voter again once the disk is writable.
 func TestLeaderWithFullDiskStepsDownAndReturns(t *testing.T) {
 	f := newFleet(t, 3)
 	a := startFollower(f, 1)
-	old := f.awaitLeader()
+	oldLeader := f.awaitLeader()
 	f.propose(a)
-	old.diskFull.Store(true)
-	out, err := old.Propose(t.Context(), zonesEntry(old.View().State.Zones.Version))
+	oldLeader.diskFull.Store(true)
+	out, err := oldLeader.Propose(t.Context(), zonesEntry(oldLeader.View().State.Zones.Version))
 	if err == nil && out.Accepted {
-		if v := old.View(); v.State.Index != out.Index {
+		if v := oldLeader.View(); v.State.Index != out.Index {
 			t.Errorf("answered %+v, its view is at %d", out, v.State.Index)
 		}
 	}
-	next := f.awaitLeader(old)
-	f.await(old, "in memory", func(v View) bool { return v.Role == RoleMemory && v.DiskError != "" })
+	newLeader := f.awaitLeader(oldLeader)
+	f.await(oldLeader, "in memory", func(v View) bool { return v.Role == RoleMemory && v.DiskError != "" })
 	last := f.propose(a)
-	f.awaitAll("at what was committed without it", freshAtIndex(last.Index))
-	if old.IsLeader() || old.View().Role != RoleMemory {
-		t.Errorf("%s: %+v", old.options.Name, old.View())
-	}
-	old.diskFull.Store(false)
-	f.await(old, "a voter again", func(v View) bool { return v.Role == RoleVoter && v.DiskError == "" })
-	next.kill() // now its vote is needed
-	f.awaitLeader(next)
+	f.awaitAll("at the entry committed without it", freshAtIndex(last.Index))
+	if oldLeader.IsLeader() || oldLeader.View().Role != RoleMemory {
+		t.Errorf("%s: %+v", oldLeader.options.Name, oldLeader.View())
+	}
+	oldLeader.diskFull.Store(false)
+	f.await(oldLeader, "a voter again", func(v View) bool { return v.Role == RoleVoter && v.DiskError == "" })
+	newLeader.kill() // its vote is needed for a majority now
+	f.awaitLeader(newLeader)
 	if out := f.propose(a); out.Index != last.Index+1 {
 		t.Errorf("index %d after %d", out.Index, last.Index)
 	}
 }
 
-// A voter whose store is torn moves it aside, has no vote until it holds all that it may
-// have voted for or stored, and then votes again.
+// A voter whose store is damaged must quarantine it, have no vote until it has again every
+// entry that it may have stored or voted for, and then get its vote back.
 func TestVoterWithTornStoreIsReadmitted(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitLeader()
@@ -55,15 +55,15 @@
 	if err := os.WriteFile(path, raw[:len(raw)/3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	lead := f.awaitLeader(torn)
+	leader := f.awaitLeader(torn)
 	id := torn.options.Name
 	torn = f.restart(torn, nil)
 	f.await(torn, "a voter again", func(v View) bool { return v.Role == RoleVoter || v.Role == RoleLeader })
 	if quarantined, _ := filepath.Glob(path + ".torn-*"); len(quarantined) != 1 {
 		t.Errorf("quarantined: %v", quarantined)
 	}
-	if !hasVote(lead.raft.Load(), id) {
-		t.Error("the leader has not given the vote back")
+	if !hasVote(leader.raft.Load(), id) {
+		t.Error("the leader has not restored the vote")
 	}
 	other := f.members["v0"]
 	for _, m := range f.members {
@@ -78,8 +78,8 @@
 	}
 }
 
-// One voter with its store keeps the fleet from being bootstrapped again, whatever the others
-// have lost.
+// Guards against a second bootstrap, which would discard committed entries: voters that lost
+// their stores must not bootstrap while one voter still has its store.
 func TestLostStoresNeverBootstrapAgain(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitLeader()
@@ -111,14 +111,14 @@
 	}
 }
 
-// appendTestEntries writes the entries 2 to 9 behind a bootstrap.
-func appendTestEntries(t *testing.T, d *voterStore) {
+// appendTestEntries bootstraps a store and appends entries 2 to 9.
+func appendTestEntries(t *testing.T, s *voterStore) {
 	t.Helper()
-	if err := d.bootstrap(raft.Configuration{}, storeIDs{"v0": "1"}); err != nil {
+	if err := s.bootstrap(raft.Configuration{}, storeIDs{"v0": "1"}); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(2); i <= 9; i++ {
-		if err := d.StoreLog(testEntry(i)); err != nil {
+		if err := s.StoreLog(testEntry(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -130,47 +130,47 @@
 
 func TestVoterStorePersistsLogAndVote(t *testing.T) {
 	dir := t.TempDir()
-	d := openTestStore(t, dir)
-	if !d.isBlank() {
-		t.Error("a fresh one is not blank")
+	s := openTestStore(t, dir)
+	if !s.isBlank() {
+		t.Error("a new store is not blank")
 	}
-	appendTestEntries(t, d)
-	_ = d.SetUint64(voteTermKey, 7) // a vote without its candidate is not written
-	if err := d.DeleteRange(8, 9); err != nil {
+	appendTestEntries(t, s)
+	_ = s.SetUint64(voteTermKey, 7) // a vote's term is not written without its candidate
+	if err := s.DeleteRange(8, 9); err != nil {
 		t.Fatal(err)
 	}
-	_ = d.close()
-	d = openTestStore(t, dir)
+	_ = s.close()
+	s = openTestStore(t, dir)
 	var entry raft.Log
-	if err := d.GetLog(7, &entry); err != nil {
+	if err := s.GetLog(7, &entry); err != nil {
 		t.Error(err)
 	}
-	if !bytes.Equal(entry.Data, []byte{7}) || string(entry.Extensions) != "x" || d.lastIndex != 7 || d.firstIndex != 1 {
-		t.Errorf("entry 7: %+v; %d to %d", entry, d.firstIndex, d.lastIndex)
+	if !bytes.Equal(entry.Data, []byte{7}) || string(entry.Extensions) != "x" || s.lastIndex != 7 || s.firstIndex != 1 {
+		t.Errorf("entry 7: %+v; %d to %d", entry, s.firstIndex, s.lastIndex)
 	}
-	if n, _ := d.GetUint64(voteTermKey); n != 0 || d.bootstrapStores["v0"] != "1" {
-		t.Errorf("vote in term %d, bootstrap stores %v", n, d.bootstrapStores)
+	if n, _ := s.GetUint64(voteTermKey); n != 0 || s.bootstrapStores["v0"] != "1" {
+		t.Errorf("vote in term %d, bootstrap stores %v", n, s.bootstrapStores)
 	}
-	_ = d.SetUint64(voteTermKey, 7)
-	if err := d.Set(voteKey, []byte("v1")); err != nil {
+	_ = s.SetUint64(voteTermKey, 7)
+	if err := s.Set(voteKey, []byte("v1")); err != nil {
 		t.Fatal(err)
 	}
-	if n, _ := d.GetUint64(voteTermKey); n != 7 {
+	if n, _ := s.GetUint64(voteTermKey); n != 7 {
 		t.Errorf("vote in term %d, want 7", n)
 	}
-	_ = d.close()
+	_ = s.close()
 
-	// bbolt has no checksum of values: the entry's own finds the damage.
+	// bbolt does not checksum values; the entry's own checksum detects the damage.
 	damageEntry(t, filepath.Join(dir, votesFileName), testEntry(7))
 	options := Options{Dir: dir, InjectFault: func(string) error { return nil }}
-	d, quarantineReason, err := openVoterStore(&options, func() {})
-	if err != nil || quarantineReason == "" || !d.isBlank() {
-		t.Errorf("a damaged entry: %q, %v", quarantineReason, err)
+	s, quarantineReason, err := openVoterStore(&options, func() {})
+	if err != nil || quarantineReason == "" || !s.isBlank() {
+		t.Errorf("damaged entry: %q, %v", quarantineReason, err)
 	}
-	_ = d.close()
+	_ = s.close()
 }
 
-// damageEntry flips a bit of an entry's data, wherever the file has the entry.
+// damageEntry flips a bit in every copy of an entry's data in the file.
 func damageEntry(t *testing.T, path string, entry *raft.Log) {
 	t.Helper()
 	file, err := os.ReadFile(path)
