--- a/cmd/coralagent/main.go
+++ b/cmd/coralagent/main.go
@@ -31,8 +31,8 @@
 
 // command holds the command-line flags; kong derives their names from the field names.
 type command struct {
-	Config      string        `required:"" placeholder:"FILE" help:"The operator's own file, CUE or JSON, that the node has too."`
-	ClockOffset time.Duration `hidden:"" help:"How far this agent's clock is ahead of the machine's, for rehearsals."`
+	Config      string        `required:"" placeholder:"FILE" help:"The operator's file, CUE or JSON; the same file as the node's."`
+	ClockOffset time.Duration `hidden:"" help:"How far this agent's clock is ahead of the machine's clock, for tests."`
 }
 
 const description = "The agent beside one node, through which nodes share limits and outlier reports. " +
--- a/cmd/coralctl/account.go
+++ b/cmd/coralctl/account.go
@@ -10,15 +10,15 @@
 
 // accountCmd implements "account", the commands on accounts, teams, grants and signing keys.
 type accountCmd struct {
-	Key        accountKeyCmd        `cmd:"" help:"Make a key that signs changes, and print its public half."`
-	List       accountListCmd       `cmd:"" help:"List accounts, teams and grants as an agent knows them."`
-	Create     accountCreateCmd     `name:"found" cmd:"" help:"Add an account; the root's alone."`
-	CreateTeam accountCreateTeamCmd `name:"team" cmd:"" help:"Add a team below an account or a team."`
-	SetLimits  accountSetLimitsCmd  `name:"limits" cmd:"" help:"Change limits; what is not named stays."`
-	Delete     accountDeleteCmd     `name:"drop" cmd:"" help:"Take away an account or team that has no teams and no routes."`
-	Grant      accountGrantCmd      `cmd:"" help:"Let a key act on a subtree."`
-	Revoke     accountRevokeCmd     `cmd:"" help:"Take a key's grant away, and all that was given by it, down the line."`
-	Apply      accountApplyCmd      `cmd:"" help:"Several operations in one change."`
+	Key        accountKeyCmd        `cmd:"" help:"Create a key that signs changes, and print its public key."`
+	List       accountListCmd       `cmd:"" help:"List the accounts, teams and grants as an agent has them."`
+	Create     accountCreateCmd     `name:"found" cmd:"" help:"Create an account; only the root key may."`
+	CreateTeam accountCreateTeamCmd `name:"team" cmd:"" help:"Create a team in an account or a team."`
+	SetLimits  accountSetLimitsCmd  `name:"limits" cmd:"" help:"Change the limits of an account or a team; limits that are not given stay."`
+	Delete     accountDeleteCmd     `name:"drop" cmd:"" help:"Delete an account or a team that has no teams and no routes."`
+	Grant      accountGrantCmd      `cmd:"" help:"Give a key permissions on a subtree."`
+	Revoke     accountRevokeCmd     `cmd:"" help:"Revoke a key's grant and all grants delegated from it."`
+	Apply      accountApplyCmd      `cmd:"" help:"Apply several operations in one change."`
 }
 
 // accountCreateCmd implements "account found", which creates an account.
@@ -38,7 +38,7 @@
 
 // accountCreateTeamCmd implements "account team", which creates a team.
 type accountCreateTeamCmd struct {
-	Path string `arg:"" help:"Its path, such as acme/web."`
+	Path string `arg:"" help:"The team's path, such as acme/web."`
 	nodeFlags
 	changeFlags
 }
@@ -54,8 +54,8 @@
 // accountSetLimitsCmd implements "account limits", which changes the attributes of an account or
 // a team.
 type accountSetLimitsCmd struct {
-	Path         string `arg:"" help:"An account's or team's path."`
-	ShrinkPolicy string `name:"shrink" enum:",proportion,priority" default:"" help:"How its teams and routes shrink where they hold more than is left: proportion or priority. Without it such a cut is refused."`
+	Path         string `arg:"" help:"Path of the account or team."`
+	ShrinkPolicy string `name:"shrink" enum:",proportion,priority" default:"" help:"How the limits of its teams and routes are reduced if they exceed the new ones: proportion or priority. Without this flag such a change is rejected."`
 	nodeFlags
 	changeFlags
 }
@@ -79,7 +79,7 @@
 
 // accountDeleteCmd implements "account drop", which deletes an account or a team.
 type accountDeleteCmd struct {
-	Path string `arg:"" help:"An account's or team's path."`
+	Path string `arg:"" help:"Path of the account or team."`
 	changeFlags
 }
 
@@ -90,7 +90,7 @@
 // accountApplyCmd implements "account apply", which submits the operations of a file as one change.
 type accountApplyCmd struct {
 	changeFlags
-	File string `arg:"" help:"JSON: a list of operations as docs/operate/accounts.md has them. All take hold together or none does."`
+	File string `arg:"" help:"JSON file with a list of operations, see docs/operate/accounts.md. They take effect together or not at all."`
 }
 
 func (c *accountApplyCmd) Run() error {
--- a/cmd/coralctl/agent.go
+++ b/cmd/coralctl/agent.go
@@ -18,8 +18,8 @@
 
 // agentFlags select the agent that a command calls.
 type agentFlags struct {
-	Agent  string `placeholder:"HOST:PORT" xor:"agent" required:"" help:"Where the agent answers, as fleet.agent has it."`
-	Config string `placeholder:"FILE" xor:"agent" required:"" help:"The operator's file whose fleet.agent is asked."`
+	Agent  string `placeholder:"HOST:PORT" xor:"agent" required:"" help:"The agent's address, as in fleet.agent."`
+	Config string `placeholder:"FILE" xor:"agent" required:"" help:"The operator's file whose fleet.agent is called."`
 }
 
 // address returns the agent's host and port.
--- a/cmd/coralctl/config.go
+++ b/cmd/coralctl/config.go
@@ -48,7 +48,7 @@
 // explainCmd implements "explain", which lists the keys of an operator's file with their
 // descriptions.
 type explainCmd struct {
-	Key string `arg:"" optional:"" help:"A key or the beginning of one, such as resume.ledger."`
+	Key string `arg:"" optional:"" help:"A key or a prefix, such as resume.ledger."`
 }
 
 func (c *explainCmd) Run() error {
--- a/cmd/coralctl/fleet.go
+++ b/cmd/coralctl/fleet.go
@@ -14,7 +14,7 @@
 
 // fleetCmd implements "fleet", the queries to an agent.
 type fleetCmd struct {
-	State fleetStateCmd `cmd:"" help:"What an agent knows of the record, the zones and the members, and what it tells its node."`
+	State fleetStateCmd `cmd:"" help:"Show an agent's view of the record, the zones and the members, and the limits that it sets for its node."`
 }
 
 // fleetStateCmd implements "fleet state", which prints an agent's view of the fleet.
--- a/cmd/coralctl/grant.go
+++ b/cmd/coralctl/grant.go
@@ -27,10 +27,10 @@
 
 // accountGrantCmd implements "account grant", which gives a key permissions on a subtree.
 type accountGrantCmd struct {
-	Path            string   `arg:"" help:"The top of the subtree."`
-	PublicKey       string   `name:"public" arg:"" help:"The public half of the key, as 'coralctl account key' prints it."`
-	Permissions     []string `name:"acts" required:"" help:"Some of routes, limits, teams, grants, contracts."`
-	DelegationDepth int      `name:"depth" default:"0" help:"How many times it may be handed on, one below the other."`
+	Path            string   `arg:"" help:"Path of the root of the subtree."`
+	PublicKey       string   `name:"public" arg:"" help:"The public key, as 'coralctl account key' prints it."`
+	Permissions     []string `name:"acts" required:"" help:"Permissions: one or more of routes, limits, teams, grants, contracts."`
+	DelegationDepth int      `name:"depth" default:"0" help:"How many levels of delegation the grant allows."`
 	changeFlags
 }
 
@@ -51,8 +51,8 @@
 // accountRevokeCmd implements "account revoke", which revokes a grant and all grants delegated
 // from it.
 type accountRevokeCmd struct {
-	Path string `arg:"" help:"The path that the grant is on."`
-	Name string `arg:"" help:"The key's name, as 'coralctl account list' has it."`
+	Path string `arg:"" help:"Path of the grant."`
+	Name string `arg:"" help:"The key's name, as 'coralctl account list' prints it."`
 	changeFlags
 }
 
--- a/cmd/coralctl/key.go
+++ b/cmd/coralctl/key.go
@@ -9,14 +9,14 @@
 
 // keyCmd implements "key", the commands on keys for resume tokens.
 type keyCmd struct {
-	New  keyNewCmd  `cmd:"" help:"Make a key for resume tokens."`
-	List keyListCmd `cmd:"" help:"List a folder's keys, not their secrets."`
+	New  keyNewCmd  `cmd:"" help:"Create a key for resume tokens."`
+	List keyListCmd `cmd:"" help:"List a directory's keys without their secrets."`
 }
 
 // keyNewCmd implements "key new", which creates a key for resume tokens.
 type keyNewCmd struct {
-	Folder       string        `name:"folder" arg:"" help:"The folder that resume.keys names."`
-	SigningDelay time.Duration `name:"signs-in" default:"10m" help:"When it begins to sign; the first key does at once. Until then every node must have it and have been sent SIGHUP."`
+	Folder       string        `name:"folder" arg:"" help:"The directory that resume.keys names."`
+	SigningDelay time.Duration `name:"signs-in" default:"10m" help:"Delay before the key begins to sign; the first key signs at once. Before then, every node must have the key and must have received SIGHUP."`
 }
 
 func (c *keyNewCmd) Run() error {
@@ -33,7 +33,7 @@
 
 // keyListCmd implements "key list", which prints the use of each key without its secret.
 type keyListCmd struct {
-	Folder string `name:"folder" arg:"" help:"The folder that resume.keys names."`
+	Folder string `name:"folder" arg:"" help:"The directory that resume.keys names."`
 }
 
 func (c *keyListCmd) Run() error {
--- a/cmd/coralctl/limitflags.go
+++ b/cmd/coralctl/limitflags.go
@@ -12,10 +12,10 @@
 // limitFlags are the flags for the limits of an account, a team or a route. A flag that is not
 // given is nil and leaves its limit unchanged.
 type limitFlags struct {
-	Connections *float64 `name:"open" help:"Standing connections. All figures: negative for no bound, 0 for nothing; write --open=-1."`
-	SetupRate   *float64 `name:"rate" help:"Set-ups a second."`
-	RetryRate   *float64 `name:"retries" help:"Retries a second."`
-	ProbeRate   *float64 `name:"probes" help:"Probes a second."`
+	Connections *float64 `name:"open" help:"Established connections. For all limits, a negative value sets no bound and 0 allows nothing; write --open=-1."`
+	SetupRate   *float64 `name:"rate" help:"Session set-ups per second."`
+	RetryRate   *float64 `name:"retries" help:"Retries per second."`
+	ProbeRate   *float64 `name:"probes" help:"Probes per second."`
 }
 
 // applyTo sets the limits whose flags are given.
@@ -30,13 +30,13 @@
 // leaves its attribute unchanged.
 type nodeFlags struct {
 	limitFlags
-	Routes     *int     `help:"Most routes, in the whole subtree."`
-	Teams      *int     `help:"Most teams, in the whole subtree."`
-	Overcommit *float64 `help:"How many times its limits its teams and routes may hold together; from 1 on."`
-	Priority   *int     `help:"The lower keeps longest when the parent is cut."`
-	Zones      []string `help:"Zones and regions it may use; 'all' for the parent's."`
-	Tenants    []string `help:"Tenants its routes may match; 'all' for the parent's."`
-	Classes    []string `help:"Classes its routes may match; 'all' for the parent's."`
+	Routes     *int     `help:"Maximum number of routes in the whole subtree."`
+	Teams      *int     `help:"Maximum number of teams in the whole subtree."`
+	Overcommit *float64 `help:"Multiple of its limits that its teams and routes may hold in total; at least 1."`
+	Priority   *int     `help:"The lowest values are reduced last when the limits of the parent shrink."`
+	Zones      []string `help:"Zones and regions that it may use; 'all' for those of the parent."`
+	Tenants    []string `help:"Tenants that its routes may match; 'all' for those of the parent."`
+	Classes    []string `help:"Classes that its routes may match; 'all' for those of the parent."`
 }
 
 // withOverrides returns a copy of node with the attributes set whose flags are given.
--- a/cmd/coralctl/main.go
+++ b/cmd/coralctl/main.go
@@ -22,14 +22,14 @@
 
 // cli holds the commands of the command line.
 type cli struct {
-	Check   checkCmd   `cmd:"" help:"Check an operator's file; exit 2 names file, line, key, what was found and what is allowed."`
-	Explain explainCmd `cmd:"" help:"List the keys of an operator's file, or those below a prefix."`
+	Check   checkCmd   `cmd:"" help:"Check an operator's file; if it is invalid, exit with 2 and name the file, line, key, found value and allowed values."`
+	Explain explainCmd `cmd:"" help:"List the keys of an operator's file, or those with a prefix."`
 	Export  exportCmd  `cmd:"" help:"Print an operator's file as complete JSON, as the node reads it."`
-	Key     keyCmd     `cmd:"" help:"Keys for resume tokens."`
-	Store   storeCmd   `cmd:"" help:"Look into a store that no node has open."`
-	Fleet   fleetCmd   `cmd:"" help:"Ask the agent beside a node."`
-	Account accountCmd `cmd:"" help:"Accounts, teams and who may change what, through the agent beside a node."`
-	Route   routeCmd   `cmd:"" help:"Routes of accounts and teams."`
+	Key     keyCmd     `cmd:"" help:"Manage keys for resume tokens."`
+	Store   storeCmd   `cmd:"" help:"Inspect a store that no node has open."`
+	Fleet   fleetCmd   `cmd:"" help:"Query the agent of a node."`
+	Account accountCmd `cmd:"" help:"Manage accounts, teams and grants through the agent of a node."`
+	Route   routeCmd   `cmd:"" help:"Manage the routes of accounts and teams."`
 }
 
 func main() {
--- a/cmd/coralctl/route.go
+++ b/cmd/coralctl/route.go
@@ -13,25 +13,25 @@
 
 // routeCmd implements "route", the commands on routes.
 type routeCmd struct {
-	Put    routePutCmd    `cmd:"" help:"Add a route, or replace it whole."`
-	Delete routeDeleteCmd `name:"drop" cmd:"" help:"Take a route away."`
-	List   routeListCmd   `cmd:"" help:"List routes in the order in which they are looked at, as an agent knows them."`
+	Put    routePutCmd    `cmd:"" help:"Create a route, or replace it completely."`
+	Delete routeDeleteCmd `name:"drop" cmd:"" help:"Delete a route."`
+	List   routeListCmd   `cmd:"" help:"List routes in the order of their precedence, as an agent has them."`
 }
 
 // routePutCmd implements "route put", which creates or replaces a route.
 type routePutCmd struct {
 	Owner      string   `arg:"" help:"Path of the account or team, such as acme/web."`
 	Name       string   `arg:"" help:"The route's name."`
-	Class      string   `help:"Only this class."`
-	Tenant     string   `help:"Only this tenant (realm)."`
-	Group      string   `help:"Only this group's key."`
-	HashFrom   float64  `name:"from" help:"Only groups whose hash is in a range, of 0 to 1: from here ..."`
-	HashTo     float64  `name:"to" help:"... to below here."`
-	Returning  *bool    `name:"returned" help:"Only those that return (or, with =false, that do not)."`
-	Retry      *bool    `help:"Only those that are tried again (or, with =false, that are not)."`
-	ZoneShares []string `name:"part" placeholder:"ZONE=PERCENT" help:"How much goes to a zone or region, 100 in all. None for all that the owner may use."`
-	Contract   string   `help:"The contract it is under."`
-	Priority   int      `help:"The lower keeps longest when its owner is cut."`
+	Class      string   `help:"Match only this class."`
+	Tenant     string   `help:"Match only this tenant (realm)."`
+	Group      string   `help:"Match only this group's key."`
+	HashFrom   float64  `name:"from" help:"Match only groups whose hash, scaled to 0 to 1, is at least this value ..."`
+	HashTo     float64  `name:"to" help:"... and below this value."`
+	Returning  *bool    `name:"returned" help:"Match only returning sessions (with =false, only those that do not return)."`
+	Retry      *bool    `help:"Match only retries (with =false, only first attempts)."`
+	ZoneShares []string `name:"part" placeholder:"ZONE=PERCENT" help:"Percentage for a zone or region; the total is 100. Without this flag, all zones that the owner may use."`
+	Contract   string   `help:"The contract of the route."`
+	Priority   int      `help:"The lowest values are reduced last when the limits of the owner shrink."`
 	limitFlags
 	changeFlags
 }
--- a/cmd/coralctl/routelist.go
+++ b/cmd/coralctl/routelist.go
@@ -12,7 +12,7 @@
 // routeListCmd implements "route list", which prints routes in the order of their precedence.
 type routeListCmd struct {
 	agentFlags
-	Subtree string `name:"below" help:"Only those of a subtree."`
+	Subtree string `name:"below" help:"List only the routes of a subtree."`
 }
 
 func (c *routeListCmd) Run() error {
--- a/cmd/coralctl/store.go
+++ b/cmd/coralctl/store.go
@@ -11,7 +11,7 @@
 
 // storeCmd implements "store", the commands on store files.
 type storeCmd struct {
-	ReplayGuard storeReplayGuardCmd `cmd:"" name:"ledger" help:"Show a ledger of spent tokens."`
+	ReplayGuard storeReplayGuardCmd `cmd:"" name:"ledger" help:"Show the number of spent tokens in a ledger."`
 }
 
 // storeReplayGuardCmd implements "store ledger", which prints the number of spent resume tokens
--- a/cmd/coralctl/submit.go
+++ b/cmd/coralctl/submit.go
@@ -17,9 +17,9 @@
 // and the reason.
 type changeFlags struct {
 	agentFlags
-	Key    string `required:"" placeholder:"FILE" help:"The key that signs, made with 'coralctl account key'."`
-	Reason string `name:"why" required:"" help:"Stands with the change, for people."`
-	DryRun bool   `help:"Ask whether it would be taken, and change nothing."`
+	Key    string `required:"" placeholder:"FILE" help:"The signing key, created with 'coralctl account key'."`
+	Reason string `name:"why" required:"" help:"Reason that is stored with the change."`
+	DryRun bool   `help:"Check whether the change would be accepted, without making it."`
 }
 
 // opsBuilder returns the operations of a change, given the accounts as the agent has them.
--- a/cmd/coralscenario/accounts.go
+++ b/cmd/coralscenario/accounts.go
@@ -14,8 +14,8 @@
 	runFlags
 	memberFlags
 	Zones int      `default:"3" help:"Zones: 3 to 6."`
-	Teams int      `default:"12" help:"Teams that write at once: 6 to 36."`
-	Steps []string `help:"Play these alone, after accounts have been founded: calm, leader, oneway, apart, disk, stall, many."`
+	Teams int      `default:"12" help:"Teams that write concurrently: 6 to 36."`
+	Steps []string `help:"Run only these steps, after the accounts have been created: calm, leader, oneway, apart, disk, stall, many."`
 }
 
 // Run runs the scenario; kong calls it.
--- a/cmd/coralscenario/flags.go
+++ b/cmd/coralscenario/flags.go
@@ -13,16 +13,16 @@
 
 // runFlags are the flags of all scenarios that check rules.
 type runFlags struct {
-	Seed          uint64 `default:"1" help:"The script's seed."`
-	JSON          string `name:"json" placeholder:"FILE" help:"Write the result there."`
-	Mutation      string `placeholder:"NAME" help:"Switch a guard off; the scenario must then find broken rules and exit 1."`
-	ListMutations bool   `help:"Name the guards that can be switched off, and end."`
+	Seed          uint64 `default:"1" help:"Seed of the scenario's script."`
+	JSON          string `name:"json" placeholder:"FILE" help:"Write the result to this file."`
+	Mutation      string `placeholder:"NAME" help:"Disable a guard; the scenario must then find broken rules and exit with 1."`
+	ListMutations bool   `help:"List the guards that can be disabled, and exit."`
 }
 
 // memberFlags are the flags of the scenarios whose agents run a replicated log.
 type memberFlags struct {
 	Nodes  int `default:"7" help:"Nodes, each with its agent: 5 to 15."`
-	Voters int `default:"3" help:"Agents that vote on what the replicated log takes: 3 or 5."`
+	Voters int `default:"3" help:"Agents that vote on entries of the replicated log: 3 or 5."`
 }
 
 // valid reports whether the counts are within the ranges that the help of the flags states.
--- a/cmd/coralscenario/fleet.go
+++ b/cmd/coralscenario/fleet.go
@@ -14,9 +14,9 @@
 	runFlags
 	Nodes         int      `default:"7" help:"Nodes, each with its agent: 5 to 9."`
 	Servers       int      `default:"8" help:"Feed servers."`
-	Rate          float64  `default:"60" help:"Transactions a second in usual times."`
-	Steps         []string `help:"Play these alone, after members have met: cold, fall, lies, bad, full."`
-	WithoutAgents bool     `name:"alone" help:"Nodes have no agents: metrics for comparison."`
+	Rate          float64  `default:"60" help:"Transactions per second at the usual load."`
+	Steps         []string `help:"Run only these steps, after the members have met: cold, fall, lies, bad, full."`
+	WithoutAgents bool     `name:"alone" help:"Run the nodes without agents, for metrics to compare with."`
 }
 
 // Run runs the scenario; kong calls it.
--- a/cmd/coralscenario/main.go
+++ b/cmd/coralscenario/main.go
@@ -31,20 +31,20 @@
 type commands struct {
 	Node string `placeholder:"FILE" help:"The node's binary; by default the coralrelay beside this program."`
 
-	Demo       demoCommand       `cmd:"" help:"Start a discovery service, feed servers, a node and clients, show for 10 s what is placed where, and end."`
-	Resume     resumeCommand     `cmd:"" help:"Move clients with resume tokens over drains, restarts and kills."`
-	Bare       bareCommand       `cmd:"" hidden:"" help:"Forward datagrams by a bare loop, for comparison."`
-	Accounts   accountsCommand   `cmd:"" help:"Teams that change routes, limits and grants at once through different agents, while leaders die, links break and a disk fills."`
-	Fleet      fleetCommand      `cmd:"" help:"Nodes that share limits and outlier reports, while they are cut off, crash and are lied to."`
-	Soak       soakCommand       `cmd:"" help:"A fleet of nodes under overlapping faults drawn from a seed, judged from outside by what clients and servers saw."`
-	Zones      zonesCommand      `cmd:"" help:"Nodes, agents and feed servers in zones that fail, are evacuated as one and recover."`
-	Objectives objectivesCommand `cmd:"" name:"promises" help:"Contracts on response times, kept by steering tenants to regions that meet them."`
+	Demo       demoCommand       `cmd:"" help:"Start a discovery service, feed servers, a node and clients, show the placements for 10 s, and exit."`
+	Resume     resumeCommand     `cmd:"" help:"Migrate clients with resume tokens during drains, restarts and kills."`
+	Bare       bareCommand       `cmd:"" hidden:"" help:"Forward datagrams in a bare loop, for comparison."`
+	Accounts   accountsCommand   `cmd:"" help:"Teams change routes, limits and grants concurrently through different agents, while leaders crash, links fail and a disk fills up."`
+	Fleet      fleetCommand      `cmd:"" help:"Nodes share limits and outlier reports, while some are partitioned, crash or receive false reports."`
+	Soak       soakCommand       `cmd:"" help:"Run a fleet of nodes under overlapping random faults and check it by what clients and servers observed."`
+	Zones      zonesCommand      `cmd:"" help:"Zones with nodes, agents and feed servers fail, are evacuated and recover."`
+	Objectives objectivesCommand `cmd:"" name:"promises" help:"Meet contracts on response times by steering tenants to regions that meet them."`
 	UDP        udpCommand        `cmd:"" name:"udp" help:"Send short flows of datagrams through a small table while servers drain and crash."`
 }
 
 // demoCommand demonstrates a running node; it checks no rules.
 type demoCommand struct {
-	Seconds int `default:"10" help:"How long."`
+	Seconds int `default:"10" help:"Duration in seconds."`
 }
 
 // Run runs the demonstration; kong calls it.
--- a/cmd/coralscenario/objectives.go
+++ b/cmd/coralscenario/objectives.go
@@ -15,10 +15,10 @@
 	runFlags
 	memberFlags
 	Zones       int      `default:"3" help:"Zones: 3 to 5."`
-	Servers     int      `default:"9" help:"Feed servers, spread over the zones in turn; the third zone keeps one."`
-	Rate        float64  `default:"300" help:"Transactions a second under contract."`
-	Steps       []string `help:"Play these alone, after members have met: calm, slow, other, left."`
-	SteeredOnly bool     `name:"alone" help:"Play the steered run alone, without an unsteered and a greedy one beside it."`
+	Servers     int      `default:"9" help:"Feed servers, distributed over the zones in turn; the third zone has only one."`
+	Rate        float64  `default:"300" help:"Transactions per second under contract."`
+	Steps       []string `help:"Run only these steps, after the members have met: calm, slow, other, left."`
+	SteeredOnly bool     `name:"alone" help:"Run only the steered variant, without an unsteered and a greedy one for comparison."`
 }
 
 // Run runs the scenario; kong calls it.
--- a/cmd/coralscenario/resume.go
+++ b/cmd/coralscenario/resume.go
@@ -11,7 +11,7 @@
 // resumeCommand runs the scenario of clients that migrate with resume tokens.
 type resumeCommand struct {
 	runFlags
-	Moves   int `default:"1000" help:"Clients moved in all."`
+	Moves   int `default:"1000" help:"Total number of client migrations."`
 	Nodes   int `default:"3" help:"Nodes."`
 	Servers int `default:"6" help:"Feed servers."`
 	Clients int `default:"200" help:"Clients."`
--- a/cmd/coralscenario/soak.go
+++ b/cmd/coralscenario/soak.go
@@ -16,12 +16,12 @@
 	runFlags
 	Nodes   int           `default:"24" help:"Nodes: 4 to 60."`
 	Servers int           `default:"60" help:"Feed servers: 8 to 120."`
-	For     time.Duration `default:"60s" help:"How long: 15s to 10m."`
-	Faults  int           `default:"3" help:"How many faults overlap: 0 to 8."`
-	Crowd   bool          `help:"Other callers keep discovery busy all along."`
-	Log     string        `placeholder:"DIR" help:"Keep the trace, the nodes' logs and the history there."`
-	Replay  string        `placeholder:"FILE" help:"Play the faults of this trace in place of drawn ones."`
-	Shrink  bool          `help:"If the run breaks a rule, play it again with fewer faults, to find a small trace that breaks it too."`
+	For     time.Duration `default:"60s" help:"Duration: 15s to 10m."`
+	Faults  int           `default:"3" help:"Number of overlapping faults: 0 to 8."`
+	Crowd   bool          `help:"Other callers keep discovery busy during the whole run."`
+	Log     string        `placeholder:"DIR" help:"Directory in which the trace, the nodes' logs and the history are kept."`
+	Replay  string        `placeholder:"FILE" help:"Replay the faults of this trace instead of random ones."`
+	Shrink  bool          `help:"If the run breaks a rule, repeat it with fewer faults to find a smaller trace that breaks the rule too."`
 }
 
 // Run runs the scenario; kong calls it.
--- a/cmd/coralscenario/udp.go
+++ b/cmd/coralscenario/udp.go
@@ -11,14 +11,14 @@
 // udpCommand runs the scenario of UDP flows, or measures the cost of UDP forwarding.
 type udpCommand struct {
 	runFlags
-	Flows   int  `default:"100000" help:"Flows in all."`
-	Table   int  `default:"10000" help:"Flows that the node's table holds."`
+	Flows   int  `default:"100000" help:"Total number of flows."`
+	Table   int  `default:"10000" help:"Capacity of the node's flow table."`
 	Servers int  `default:"8" help:"Feed servers."`
 	Shared  bool `help:"The node's flows share a socket to each upstream."`
-	Cores   int  `default:"1" help:"Cores that the node has, and listeners for datagrams."`
-	Speed   bool `help:"Measure forwarding against a bare loop, in place of many short flows."`
-	Steady  int  `default:"2000" help:"Steady flows beside floods."`
-	Flood   bool `help:"Steady flows beside floods of new ones, in place of many short flows."`
+	Cores   int  `default:"1" help:"Number of cores, and of datagram listeners, of the node."`
+	Speed   bool `help:"Measure forwarding against a bare loop, instead of running many short flows."`
+	Steady  int  `default:"2000" help:"Number of steady flows during floods."`
+	Flood   bool `help:"Run steady flows during floods of new ones, instead of many short flows."`
 }
 
 // Run runs the scenario; kong calls it.
--- a/cmd/coralscenario/zones.go
+++ b/cmd/coralscenario/zones.go
@@ -15,8 +15,8 @@
 	memberFlags
 	Zones   int      `default:"3" help:"Zones: 3 to 6."`
 	Servers int      `default:"9" help:"Feed servers."`
-	Rate    float64  `default:"120" help:"Transactions a second in usual times."`
-	Steps   []string `help:"Play these alone, after members have met: cold, silent, link, half, one, self, disk, leader, lone, two, flap."`
+	Rate    float64  `default:"120" help:"Transactions per second at the usual load."`
+	Steps   []string `help:"Run only these steps, after the members have met: cold, silent, link, half, one, self, disk, leader, lone, two, flap."`
 }
 
 // Run runs the scenario; kong calls it.
