--- a/internal/fleet/quota/allocate.go
+++ b/internal/fleet/quota/allocate.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// maxMedianMultiple is how many times the median of all members' demands one counts at most:
-// uneven traffic passes, a false report does not.
+// maxMedianMultiple limits the demand of one member to a multiple of the median of all members'
+// demands. Uneven traffic stays below the limit; a false report does not.
 const maxMedianMultiple = 3.0
 
-// maxAllocatedRate is the greatest rate that is allocated, a second.
+// maxAllocatedRate is the maximum rate that AllocateRate allocates, per second.
 const maxAllocatedRate = 1e6
 
-// TokenGrant is how many connections this member may open to one endpoint.
+// TokenGrant is the number of connections that this member may open to one endpoint.
 type TokenGrant struct {
 	Endpoint
 	Tokens int `json:"tokens"`
 }
 
-// Allocate returns this member's tokens for the period in which now lies, for every endpoint
-// that any lease holder reports as warming up, by id.
+// Allocate returns this member's tokens for the period that contains now, for every endpoint that
+// any lease holder reports as warming up. The result is sorted by endpoint.
 func (s *State) Allocate(now time.Duration) (grants []TokenGrant) {
 	holders := s.leaseHolders(now)
 	period, _, _ := s.cfg.Period(now)
@@ -31,7 +31,8 @@
 	return grants
 }
 
-// warmingEndpoints is the set of endpoints that any lease holder reports as warming up.
+// warmingEndpoints returns the set of endpoints that any lease holder has reported as warming up
+// within the LeaseTimeout.
 func (s *State) warmingEndpoints(now time.Duration, holders []string) map[Endpoint]bool {
 	warming := map[Endpoint]bool{}
 	for _, name := range holders {
@@ -45,9 +46,9 @@
 	return warming
 }
 
-// AllocateRate returns this member's tokens for the period in which now lies, of a rate a second
-// that all members know and keep to together. An epoch's budget is half of what the rate makes
-// in it, so that two epochs, which a window may touch, make no more than the whole.
+// AllocateRate returns this member's tokens for the period that contains now, out of a rate per
+// second that all members receive and share. The budget of an epoch is half of rate times Epoch, so
+// that a window of one epoch's length, which may overlap two epochs, never exceeds the rate.
 func (s *State) AllocateRate(now time.Duration, endpoint Endpoint, rate float64) int {
 	if !(rate > 0) {
 		return 0
@@ -57,31 +58,33 @@
 	return s.ownTokens(now, period, budget, endpoint, s.leaseHolders(now))
 }
 
-// ownTokens is this member's part of a budget: of all of it in an epoch's first period, and of
-// what is known not to have been spent in the second.
-func (s *State) ownTokens(now time.Duration, period int64, budget int, endpoint Endpoint, holders []string) int {
-	isFirst := period%2 == 0
+// ownTokens returns this member's share of a budget: of the whole budget in the first period of an
+// epoch, and in the second period of the tokens that are known to be unspent.
+func (s *State) ownTokens(
+	now time.Duration, period int64, budget int, endpoint Endpoint, holders []string,
+) int {
+	isFirstPeriod := period%2 == 0
 	firstPeriod := period / 2 * 2
 	tokens := splitTokens(budget, endpoint, firstPeriod, holders)
-	left := budget
-	if !isFirst {
+	remaining := budget
+	if !isFirstPeriod {
 		_, begin, _ := s.cfg.Period(now)
 		for _, name := range holders {
-			left -= s.members[name].spentInPeriod(firstPeriod, begin, endpoint, tokens[name])
+			remaining -= s.members[name].spentInPeriod(firstPeriod, begin, endpoint, tokens[name])
 		}
-		left = max(left, 0)
+		remaining = max(remaining, 0)
 	}
 	switch {
 	case s.DisabledGuards.RankedAllocation:
-		return left
-	case isFirst:
+		return remaining
+	case isFirstPeriod:
 		return tokens[s.self]
 	}
-	return splitTokens(left, endpoint, period, holders)[s.self]
+	return splitTokens(remaining, endpoint, period, holders)[s.self]
 }
 
-// spentInPeriod is how many of its tokens a member has spent in a period that ended at a time.
-// A member that has not reported since then counts as having spent all that it was allocated.
+// spentInPeriod returns the number of tokens that a member spent in a period that ended at end. A
+// member that has not reported since end counts as having spent all tokens allocated to it.
 func (m *member) spentInPeriod(period int64, end time.Duration, endpoint Endpoint, allocated int) int {
 	switch {
 	case m.report != nil && m.report.Period == period && m.report.ReportedAt >= end:
@@ -92,8 +95,8 @@
 	return allocated
 }
 
-// epochBudget is how many connections all members may open to an endpoint within an epoch: the
-// sum of their demands, each limited to a multiple of the median.
+// epochBudget returns the number of connections that all members together may open to an endpoint
+// within an epoch: the sum of their demands, each limited to maxMedianMultiple times the median.
 func (s *State) epochBudget(now time.Duration, epoch int64, endpoint Endpoint, holders []string) int {
 	var demands []float64
 	for _, name := range holders {
--- a/internal/fleet/quota/allocate_test.go
+++ b/internal/fleet/quota/allocate_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// partitionedFleet is a fleet whose members may be cut into two sides: those with even and with
-// odd numbers.
+// partitionedFleet is a fleet that a network partition may split into two sides: the members with
+// even and with odd numbers.
 type partitionedFleet struct {
 	*testFleet
 	sides  int
@@ -17,7 +17,7 @@
 // isReachable reports whether member i receives what member j reports.
 func (f *partitionedFleet) isReachable(i, j int) bool { return f.sides == 1 || i%2 == j%2 }
 
-// suspectOtherSide has every member take those of the other side for failed.
+// suspectOtherSide marks, on every member, the members of the other side as failed.
 func (f *partitionedFleet) suspectOtherSide() {
 	for i, state := range f.states {
 		for j, name := range f.names {
@@ -28,7 +28,8 @@
 	}
 }
 
-// expireOtherSide lets the lease timeout pass, so that each side allocates by its own reports.
+// expireOtherSide advances the time past the lease timeout, so that each side allocates from its own
+// reports alone.
 func (f *partitionedFleet) expireOtherSide() {
 	f.now += (cfg.LeaseTimeout/cfg.Epoch + 1) * cfg.Epoch
 	f.sides = 2
@@ -42,8 +43,8 @@
 	}
 }
 
-// spendPeriod has every member spend some of its tokens, and report it to some of the others,
-// twice. It returns what they have spent.
+// spendPeriod makes every member spend some of its tokens and report them, with each report delivered
+// twice to a random subset of the reachable members. It returns the number of tokens spent.
 func (f *partitionedFleet) spendPeriod(t *rapid.T, period int64) (spent int) {
 	used := make([]int, len(f.states))
 	for i, state := range f.states {
@@ -67,15 +68,15 @@
 	return spent
 }
 
-// Whatever reports are lost, delayed or received twice, and however members are cut off from one
-// another for less than the lease timeout, together they spend no more within an epoch than its
-// budget; cut off for longer, no more than that on each side.
+// All members together spend no more than the budget within an epoch, even if reports are lost,
+// delayed or duplicated and the fleet is partitioned for less than the lease timeout. In a longer
+// partition, the bound holds for each side.
 func TestMembersTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 9).Draw(t, "members")
 		demand := rapid.Float64Range(0, 6).Draw(t, "part")
 		fleet := &partitionedFleet{testFleet: newTestFleet(members), sides: 1, demand: demand}
-		for i := range members { // all have received all reports once
+		for i := range members { // every member has received one report of every other
 			fleet.reportToAll(i, warmingUsage(demand))
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "epochs") {
@@ -86,7 +87,7 @@
 				}
 			}
 			period, _, _ := cfg.Period(fleet.now)
-			budget := int(demand*float64(members)) + fleet.sides // a fraction, rounded up on each side
+			budget := int(demand*float64(members)) + fleet.sides // each side may round up a fraction
 			spent := fleet.spendPeriod(t, period) + fleet.spendPeriod(t, period+1)
 			if spent > fleet.sides*budget {
 				t.Fatalf("%d spent of %d on %d sides", spent, budget, fleet.sides)
@@ -95,16 +96,16 @@
 	})
 }
 
-// What a side allocates after the lease timeout is the sum of its own demands, not the whole
-// fleet's.
+// After the lease timeout, the budget is the sum of the demands of the remaining lease holders, not
+// of the whole fleet.
 func TestTokensAfterMembershipChanges(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		do    func(fleet *testFleet)
-		total int // of all members' tokens in a first period
+		total int // sum of all members' tokens in a first period
 	}{
-		{"all there", func(*testFleet) {}, 12},
-		{"one failed: it may be sending", func(fleet *testFleet) {
+		{"all members alive", func(*testFleet) {}, 12},
+		{"one failed: it may still open connections", func(fleet *testFleet) {
 			fleet.states[0].SetMemberStatus(fleet.now, "n3", Failed)
 		}, 12},
 		{"one left", func(fleet *testFleet) {
@@ -112,18 +113,19 @@
 				state.SetMemberStatus(fleet.now, "n3", Left)
 			}
 		}, 9},
-		{"one failed long ago", func(fleet *testFleet) {
+		{"one failed before the lease timeout", func(fleet *testFleet) {
 			for _, state := range fleet.states[:3] {
 				state.SetMemberStatus(fleet.now-cfg.LeaseTimeout, "n3", Failed)
 			}
 		}, 9},
-		{"one reports an absurd demand", func(fleet *testFleet) {
+		{"one reports an excessive demand", func(fleet *testFleet) {
 			fleet.reportToAll(3, warmingUsage(1e6))
 		}, 18}, // limited to three times the median
-		{"one reports what can't be", func(fleet *testFleet) {
+		{"implausible report and unknown member", func(fleet *testFleet) {
 			for _, state := range fleet.states {
 				state.Merge(Report{Member: "n3", Incarnation: 2, Seq: 1, Usages: []Usage{warmingUsage(-1)}})
-				state.Merge(Report{Member: "stranger", Incarnation: 2, Seq: 1, Usages: []Usage{warmingUsage(99)}})
+				state.Merge(Report{
+					Member: "stranger", Incarnation: 2, Seq: 1, Usages: []Usage{warmingUsage(99)}})
 			}
 		}, 12},
 	} {
@@ -142,12 +144,12 @@
 			total += fourth[0].Tokens
 		}
 		if total != tt.total {
-			t.Errorf("%s: %d tokens in all, want %d", tt.name, total, tt.total)
+			t.Errorf("%s: %d tokens in total, want %d", tt.name, total, tt.total)
 		}
 	}
 }
 
-func TestUnspentTokensAreAllocatedAgain(t *testing.T) {
+func TestUnspentTokensAreReallocated(t *testing.T) {
 	fleet := newTestFleet(3)
 	usage := warmingUsage(4)
 	for i := range 3 {
@@ -158,36 +160,35 @@
 	for i, spent := range []int{4, 0, 0} {
 		usage.Spent = spent
 		report := fleet.report(i, period, usage)
-		for _, state := range fleet.states[:2] { // the third receives no other's report
+		for _, state := range fleet.states[:2] { // the third member receives no report of another
 			state.Merge(report)
 		}
 	}
-	for i, want := range []int{2, 3, 1} { // of 8 left, and of 4 that the third knows of
+	for i, want := range []int{2, 3, 1} { // shares of 8 remaining, and of 4 as seen by the third
 		if got := fleet.states[i].Allocate(fleet.now)[0].Tokens; got < want || got > want+1 {
 			t.Errorf("member %d is allocated %d, want %d or one more", i, got, want)
 		}
 	}
 }
 
-// spendRate has every member, whether it has received a change of rate or not, spend some of its
-// tokens of a rate.
+// spendRate makes every member spend some of its tokens of a rate that is drawn for each member, as if
+// some had not yet received a change of the rate. It returns the tokens spent and the highest rate.
 func spendRate(t *rapid.T, fleet *testFleet, endpoint Endpoint) (used []int, highestRate float64) {
 	for _, state := range fleet.states {
 		rate := rapid.SampledFrom([]float64{0, 2.5, 40}).Draw(t, "rate")
 		highestRate = max(highestRate, rate)
 		tokens := state.AllocateRate(fleet.now, endpoint, rate)
 		if rate == 0 && tokens != 0 {
-			t.Fatalf("%d tokens of no rate", tokens)
+			t.Fatalf("%d tokens for a rate of 0", tokens)
 		}
 		used = append(used, rapid.IntRange(0, tokens).Draw(t, "used"))
 	}
 	return used, highestRate
 }
 
-// Whatever reports are lost and however the rate changes, all members together spend no more of
-// a zone's rate within an epoch than half of what the highest one makes, and without a rate
-// nothing.
-func TestRateIsKeptByAllMembersTogether(t *testing.T) {
+// All members together spend at most half of the highest rate of a zone times Epoch within an epoch,
+// even if reports are lost and the rate changes. Without a rate they spend nothing.
+func TestMembersTogetherStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 9).Draw(t, "members")
 		fleet := newTestFleet(members)
@@ -201,7 +202,8 @@
 				fleet.now = end
 				for i := range members {
 					spent += used[i]
-					report := fleet.report(i, period, Usage{Endpoint: zone, Spent: used[i], PriorSpent: prior[i]})
+					report := fleet.report(
+						i, period, Usage{Endpoint: zone, Spent: used[i], PriorSpent: prior[i]})
 					for _, state := range fleet.states {
 						if rapid.Bool().Draw(t, "heard") {
 							state.Merge(report)
@@ -211,7 +213,7 @@
 				prior = used
 			}
 			if limit := highestRate*cfg.Epoch.Seconds()/2 + 1; float64(spent) > limit {
-				t.Fatalf("%d spent of %g a second", spent, highestRate)
+				t.Fatalf("%d spent at a rate of %g per second", spent, highestRate)
 			}
 		}
 	})
--- a/internal/fleet/quota/config.go
+++ b/internal/fleet/quota/config.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Config is the same on all members.
+// Config sets the limits and time-outs. All members must have the same Config.
 type Config struct {
-	// Epoch is the window for which a warming endpoint's budget is allocated.
+	// Epoch is the length of the window that the budget of a warming endpoint applies to.
 	Epoch time.Duration
 	// LeaseTimeout is how long a failed member keeps its tokens, and how long a report of demand
-	// counts.
+	// is valid.
 	LeaseTimeout time.Duration
-	// ReportTTL is how long a report of outliers or retries counts.
+	// ReportTTL is how long a report of outliers or retries is valid.
 	ReportTTL time.Duration
-	// RetryRatio is how many retries are allowed for one first attempt.
+	// RetryRatio is the number of retries allowed per first attempt.
 	RetryRatio float64
-	// MaxOutlierFraction is the fraction of all endpoints that may be outliers at most.
+	// MaxOutlierFraction is the maximum fraction of all endpoints that may be outliers.
 	MaxOutlierFraction float64
 }
 
@@ -22,7 +22,7 @@
 	maxRetryRatio = 10
 )
 
-// InvalidKey returns the first invalid key, or "".
+// InvalidKey returns the settings key of the first invalid value, or "" if all values are valid.
 func (c Config) InvalidKey() string {
 	switch {
 	case c.Epoch < minEpoch:
@@ -39,19 +39,19 @@
 	return ""
 }
 
-// Period returns the number of the period, half an epoch, in which now lies, and when it begins
-// and ends. Even periods are the first of their epoch.
+// Period returns the number, the beginning and the end of the period that contains now. A period is
+// half an epoch; even periods are the first of their epoch.
 func (c Config) Period(now time.Duration) (period int64, begin, end time.Duration) {
 	duration := c.Epoch / 2
 	period = int64(now / duration)
 	return period, time.Duration(period) * duration, time.Duration(period+1) * duration
 }
 
-// Guards names the checks that a mutation can switch off, so that a scenario shows that it
-// would notice. All false in service.
+// Guards selects checks to disable. Mutation runs set a field to verify that a scenario detects the
+// missing check; all fields are false in production.
 type Guards struct {
 	RankedAllocation bool // every member takes the whole budget
-	LeaseExpiry      bool // failed members keep their lease for ever
-	Quorum           bool // one reporter is enough
+	LeaseExpiry      bool // failed members keep their lease forever
+	Quorum           bool // one reporter is sufficient
 	RetryBudget      bool // retries are unlimited
 }
--- a/internal/fleet/quota/outliers.go
+++ b/internal/fleet/quota/outliers.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// minReporters is how many members must report an endpoint as failing.
+	// minReporters is the minimum number of members that must report an endpoint as failing.
 	minReporters = 2
-	// minFailedAttempts is what a counter of one failure has decayed to a moment later.
+	// minFailedAttempts is the counter of failed attempts from which a member counts as reporting a
+	// failure. It is below 1 because the counter of a single failure decays before it is evaluated.
 	minFailedAttempts = 0.5
 )
 
-// Outliers returns the endpoints that enough members have recently seen fail: half of those that
-// attempted them, and two at least, so that one member's report, true or not, is never enough.
-// However many are reported, no more than MaxOutlierFraction of all endpoints are outliers, those
-// with most reporters first.
+// Outliers returns the endpoints that enough members have recently reported as failing: at least half
+// of the members that attempted the endpoint, and at least minReporters, so that the report of a
+// single member, true or false, is never sufficient. At most MaxOutlierFraction of all endpoints are
+// outliers; those reported by the most members come first.
 func (s *State) Outliers(now time.Duration) []Endpoint {
-	reporters, accusers := s.countReporters(now)
+	reporters, failureReporters := s.countReporters(now)
 	quorum := minReporters
 	if s.DisabledGuards.Quorum {
 		quorum = 1
 	}
 	var outliers []Endpoint
-	for endpoint, count := range accusers {
+	for endpoint, count := range failureReporters {
 		if count >= quorum && (2*count >= reporters[endpoint] || s.DisabledGuards.Quorum) {
 			outliers = append(outliers, endpoint)
 		}
 	}
 	slices.SortFunc(outliers, func(a, b Endpoint) int {
-		return cmp.Or(cmp.Compare(accusers[b], accusers[a]), compareEndpoints(a, b))
+		return cmp.Or(cmp.Compare(failureReporters[b], failureReporters[a]), compareEndpoints(a, b))
 	})
 	if s.DisabledGuards.Quorum {
 		return outliers
@@ -38,10 +39,10 @@
 	return outliers[:min(len(outliers), int(s.cfg.MaxOutlierFraction*float64(len(reporters))))]
 }
 
-// countReporters counts, by endpoint, the members that attempted it recently and those to which
-// it failed.
-func (s *State) countReporters(now time.Duration) (reporters, accusers map[Endpoint]int) {
-	reporters, accusers = map[Endpoint]int{}, map[Endpoint]int{}
+// countReporters counts, for each endpoint, the members that recently attempted it and the members
+// for which at least half of the attempts failed.
+func (s *State) countReporters(now time.Duration) (reporters, failureReporters map[Endpoint]int) {
+	reporters, failureReporters = map[Endpoint]int{}, map[Endpoint]int{}
 	for _, current := range s.members {
 		if !s.hasFreshReport(now, current) {
 			continue
@@ -52,9 +53,9 @@
 			}
 			reporters[endpoint]++
 			if usage.FailedAttempts >= minFailedAttempts && 2*usage.FailedAttempts >= usage.Attempts {
-				accusers[endpoint]++
+				failureReporters[endpoint]++
 			}
 		}
 	}
-	return reporters, accusers
+	return reporters, failureReporters
 }
--- a/internal/fleet/quota/outliers_test.go
+++ b/internal/fleet/quota/outliers_test.go
@@ -11,7 +11,7 @@
 	return Usage{Endpoint: Endpoint{ID: id}, Attempts: attempts, FailedAttempts: failed}
 }
 
-// attemptedAll is a usage of each of eight endpoints, with as many failed attempts.
+// attemptedAll returns a usage of each of eight endpoints, with the given number of failed attempts.
 func attemptedAll(failed float64) (usages []Usage) {
 	for i := range 8 {
 		usages = append(usages, attempted(fmt.Sprint("s", i), 4, failed))
@@ -29,12 +29,12 @@
 		age     time.Duration
 		want    []string
 	}{
-		{"two of three saw it", [][]Usage{oneFails, oneFails, healthy}, 0, []string{"s1"}},
-		{"one liar accuses all", [][]Usage{failing, healthy, healthy}, 0, nil},
-		{"two liars of five", [][]Usage{failing, failing, healthy, healthy, healthy}, 0, nil},
-		{"all fail: a quarter at most", [][]Usage{failing, failing, failing}, 0, []string{"s0", "s1"}},
-		{"long ago", [][]Usage{oneFails, oneFails}, cfg.ReportTTL, nil},
-		{"a fault now and then", [][]Usage{rarelyFails, rarelyFails}, 0, nil},
+		{"two of three report a failure", [][]Usage{oneFails, oneFails, healthy}, 0, []string{"s1"}},
+		{"one false report of all endpoints", [][]Usage{failing, healthy, healthy}, 0, nil},
+		{"two false reports of five", [][]Usage{failing, failing, healthy, healthy, healthy}, 0, nil},
+		{"all fail: limited to a quarter", [][]Usage{failing, failing, failing}, 0, []string{"s0", "s1"}},
+		{"expired reports", [][]Usage{oneFails, oneFails}, cfg.ReportTTL, nil},
+		{"rare failures", [][]Usage{rarelyFails, rarelyFails}, 0, nil},
 	} {
 		fleet := newTestFleet(len(tt.reports))
 		for i, usages := range tt.reports {
--- a/internal/fleet/quota/report.go
+++ b/internal/fleet/quota/report.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Endpoint names one process of an endpoint.
+// Endpoint identifies one process of an endpoint.
 type Endpoint struct {
 	ID        string `json:"id"`
-	StartedAt int64  `json:"started,omitempty"` // Unix ms; 0 for long ago
+	StartedAt int64  `json:"started,omitempty"` // Unix time in ms; 0 if it started long ago
 }
 
 func compareEndpoints(a, b Endpoint) int {
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartedAt, b.StartedAt))
 }
 
-// ZoneKey is the key under which session set-ups into a zone are allocated. It is no endpoint's:
-// none started before 1970.
+// ZoneKey returns the key under which session set-ups into a zone are allocated. Its negative
+// StartedAt keeps it distinct from every endpoint: no endpoint started before 1970.
 func ZoneKey(name string) Endpoint { return Endpoint{ID: name, StartedAt: -1} }
 
-// Usage is what one member reports of one endpoint. Counters of attempts decay within seconds.
+// Usage is one member's report about one endpoint. The counters of attempts decay within seconds.
 type Usage struct {
 	Endpoint
 	WarmingUp      bool    `json:"cold,omitempty"`
-	Demand         float64 `json:"part,omitempty"`  // connections in an epoch, by this member's own traffic
-	Spent          int     `json:"spent,omitempty"` // tokens of the report's period; never falls within it
-	PriorSpent     int     `json:"prior,omitempty"` // all tokens of the period before
-	Attempts       float64 `json:"asked,omitempty"` // sessions tried and failed health checks
+	Demand         float64 `json:"part,omitempty"`  // connections per epoch for the member's own traffic
+	Spent          int     `json:"spent,omitempty"` // tokens spent in Report.Period; never decreases in it
+	PriorSpent     int     `json:"prior,omitempty"` // tokens spent in the preceding period
+	Attempts       float64 `json:"asked,omitempty"` // session attempts and failed health checks
 	FailedAttempts float64 `json:"failed,omitempty"`
 }
 
-// Report is what one member reports. It replaces the member's earlier ones.
+// Report is a member's report. It replaces the member's earlier reports.
 type Report struct {
 	Member        string        `json:"member"`
-	Incarnation   int64         `json:"boot"` // of its process: a later one replaces all
+	Incarnation   int64         `json:"boot"` // incarnation of the process; a later one replaces all reports
 	Seq           uint64        `json:"seq"`
 	ReportedAt    time.Duration `json:"at"`      // Unix time
-	Period        int64         `json:"half"`    // that Spent is about
+	Period        int64         `json:"half"`    // period that Usage.Spent refers to
 	FirstAttempts float64       `json:"firsts"`  // decays within seconds
 	Retries       float64       `json:"retries"` // decays within seconds
 	Usages        []Usage       `json:"uses,omitempty"`
 }
 
-// Bounds of what is accepted from other members.
+// Bounds of reports from other members. A report that exceeds them is rejected.
 const (
 	maxEndpoints  = 4096
 	maxMembers    = 1024
@@ -51,13 +51,14 @@
 	maxDecayedSum = 1e9
 )
 
-// isNewerThan reports whether r replaces other: the greater in this order, so that merging is
-// commutative, associative and idempotent.
+// isNewerThan reports whether r replaces other. Reports are ordered by Incarnation, then Seq, and the
+// greater one is kept, so that merging is commutative, associative and idempotent.
 func (r *Report) isNewerThan(other *Report) bool {
 	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Seq, other.Seq)) > 0
 }
 
-// isPlausible reports whether a report can be true: it comes from outside.
+// isPlausible reports whether all values of a report are possible. Reports come from other processes
+// and are not trusted.
 func (r *Report) isPlausible() bool {
 	switch {
 	case r.Member == "" || len(r.Member) > maxNameBytes:
--- a/internal/fleet/quota/retries.go
+++ b/internal/fleet/quota/retries.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// unlimitedRetries is the budget while its guard is disabled.
+// unlimitedRetries is the retry budget if Guards.RetryBudget is set.
 const unlimitedRetries = 1e6
 
-// RetryBudget is how many more retries this member may make now: what its own first attempts
-// allow and it has not used, and its part of what the others have left. Parts are of all lease
-// holders, with a fresh report or not: several that received the same member's report and not
-// one another's would else take more than that member has left.
+// RetryBudget returns how many more retries this member may make now: the unused part of its own
+// budget, and an equal share of the unused budgets of the others. The share is computed over all lease
+// holders, whether or not their reports are fresh. Otherwise several members that received the report
+// of one member but not those of one another would together take more than that member has left.
 func (s *State) RetryBudget(now time.Duration) float64 {
 	if s.DisabledGuards.RetryBudget {
 		return unlimitedRetries
@@ -21,11 +21,11 @@
 		if !s.hasFreshReport(now, member) {
 			continue
 		}
-		left := s.cfg.RetryRatio*member.report.FirstAttempts - member.report.Retries
+		remaining := s.cfg.RetryRatio*member.report.FirstAttempts - member.report.Retries
 		if name == s.self {
-			own = left
+			own = remaining
 		} else {
-			others += max(left, 0)
+			others += max(remaining, 0)
 		}
 	}
 	if holders == 0 {
--- a/internal/fleet/quota/retries_test.go
+++ b/internal/fleet/quota/retries_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// However stale the others' reports are, all members' retries together stay below twice the
-// ratio of first attempts.
+// The sum of all members' retries stays below twice RetryRatio times their first attempts, however
+// stale the reports of other members are.
 func TestRetriesOfAllMembersStayBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 9).Draw(t, "members")
--- a/internal/fleet/quota/state.go
+++ b/internal/fleet/quota/state.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Status is what membership knows of a member.
+// Status is the status of a member according to the membership protocol.
 type Status int
 
-// The statuses. A member that has left holds no lease any more; one that failed may only be
-// isolated and go on sending.
+// The statuses of a member. A member that has left no longer holds a lease. A failed member may only
+// be unreachable for this one and still open connections.
 const (
 	Alive Status = iota
 	Failed
@@ -25,7 +25,8 @@
 	usages          map[Endpoint]Usage
 }
 
-// State is what one member knows of all. It is not safe for concurrent use.
+// State holds the latest status and report of each member as received by one member. It is not safe
+// for concurrent use.
 type State struct {
 	DisabledGuards Guards
 
@@ -34,12 +35,13 @@
 	members map[string]*member
 }
 
-// NewState returns the state of a member that knows no other.
+// NewState returns a state whose only member is self.
 func NewState(self string, cfg Config) *State {
 	return &State{self: self, cfg: cfg, members: map[string]*member{self: {}}}
 }
 
-// SetMemberStatus takes a member's status; new members are added while they are alive.
+// SetMemberStatus sets the status of a member. It adds an unknown member only if the member is alive
+// and there are fewer than maxMembers. The status of self does not change.
 func (s *State) SetMemberStatus(now time.Duration, name string, status Status) {
 	current := s.members[name]
 	if current == nil {
@@ -54,8 +56,8 @@
 	}
 }
 
-// Merge takes a report, of this member or of another that membership knows, and returns whether
-// it was accepted as plausible and newer than the last one.
+// Merge stores a report of this member or of another one in the state. It reports whether the report
+// was accepted: its member is known, and it is plausible and newer than the member's last report.
 func (s *State) Merge(report Report) bool {
 	sender := s.members[report.Member]
 	if sender == nil || !report.isPlausible() || sender.report != nil && !report.isNewerThan(sender.report) {
@@ -68,7 +70,7 @@
 	return true
 }
 
-// Reports returns the latest report of each member, by name.
+// Reports returns the latest report of each member, sorted by member name.
 func (s *State) Reports() (reports []Report) {
 	for _, name := range s.memberNames() {
 		if current := s.members[name]; current.report != nil {
@@ -78,7 +80,7 @@
 	return reports
 }
 
-// Members returns the status of each member, by name.
+// Members returns the status of each member, keyed by name.
 func (s *State) Members() map[string]Status {
 	statuses := make(map[string]Status, len(s.members))
 	for name, current := range s.members {
@@ -96,7 +98,7 @@
 	return names
 }
 
-// RemoveExpired removes members that have left, or failed for longer than the LeaseTimeout.
+// RemoveExpired removes the members that have left or have been failed for the LeaseTimeout.
 func (s *State) RemoveExpired(now time.Duration) {
 	for name, current := range s.members {
 		if name != s.self && !s.holdsLease(now, current) {
@@ -105,7 +107,7 @@
 	}
 }
 
-// holdsLease reports whether a member's tokens are still its own.
+// holdsLease reports whether tokens are still allocated to a member.
 func (s *State) holdsLease(now time.Duration, holder *member) bool {
 	switch holder.status {
 	case Left:
@@ -116,12 +118,14 @@
 	return true
 }
 
-// leaseHolders returns the members among whom tokens are allocated, by name.
+// leaseHolders returns the names of the members that tokens are allocated to, in order.
 func (s *State) leaseHolders(now time.Duration) []string {
-	return slices.DeleteFunc(s.memberNames(), func(name string) bool { return !s.holdsLease(now, s.members[name]) })
+	return slices.DeleteFunc(s.memberNames(), func(name string) bool {
+		return !s.holdsLease(now, s.members[name])
+	})
 }
 
-// hasFreshReport reports whether a member's report of outliers and retries counts.
+// hasFreshReport reports whether a member's report of outliers and retries is still valid.
 func (s *State) hasFreshReport(now time.Duration, sender *member) bool {
 	if sender.report == nil || sender.status == Left {
 		return false
--- a/internal/fleet/quota/state_test.go
+++ b/internal/fleet/quota/state_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Merging is the same in any order and however often a report is received.
+// The merged state does not depend on the order of reports, nor on duplicates.
 func TestMergeConvergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []Report
@@ -18,7 +18,7 @@
 				Incarnation: int64(rapid.IntRange(1, 2).Draw(t, "boot")),
 				Seq:         uint64(rapid.IntRange(1, 4).Draw(t, "seq")),
 			}
-			// The same numbers always stand for the same report.
+			// Reports with the same Incarnation and Seq must have the same content.
 			report.FirstAttempts = float64(report.Incarnation)*10 + float64(report.Seq)
 			reports = append(reports, report)
 		}
@@ -32,7 +32,7 @@
 		for name := range first.members {
 			x, y := first.members[name].report, second.members[name].report
 			if (x == nil) != (y == nil) || x != nil && x.FirstAttempts != y.FirstAttempts {
-				t.Fatalf("%s: %v and %v", name, x, y)
+				t.Fatalf("%s: reports differ: %v and %v", name, x, y)
 			}
 		}
 	})
--- a/internal/fleet/quota/testfleet_test.go
+++ b/internal/fleet/quota/testfleet_test.go
@@ -15,9 +15,9 @@
 
 var warmingEndpoint = Endpoint{ID: "s", StartedAt: 7}
 
-const startTime = 1_000_000 * 1500 * time.Millisecond // when an epoch begins
+const startTime = 1_000_000 * 1500 * time.Millisecond // beginning of an epoch
 
-// testFleet is some members, each with a state of its own.
+// testFleet is a fleet of members, each with its own state.
 type testFleet struct {
 	names  []string
 	states []*State
@@ -40,7 +40,7 @@
 	return fleet
 }
 
-// report has member i report, and returns the report for those that receive it.
+// report merges a new report of member i into its own state, and returns the report for the others.
 func (f *testFleet) report(i int, period int64, usages ...Usage) Report {
 	f.seq++
 	report := Report{
@@ -55,7 +55,7 @@
 	return report
 }
 
-// reportToAll has member i report to all members.
+// reportToAll delivers a new report of member i to all members.
 func (f *testFleet) reportToAll(i int, usage Usage) {
 	report := f.report(i, 0, usage)
 	for _, state := range f.states {
@@ -63,7 +63,7 @@
 	}
 }
 
-// warmingUsage is a usage of the warming endpoint.
+// warmingUsage returns a usage of warmingEndpoint with the given demand.
 func warmingUsage(demand float64) Usage {
 	return Usage{Endpoint: warmingEndpoint, WarmingUp: true, Demand: demand}
 }
--- a/internal/fleet/quota/tokens.go
+++ b/internal/fleet/quota/tokens.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// roundBudget is a budget in whole tokens: a fraction becomes one more in as many epochs.
+// roundBudget rounds a budget to whole tokens. The fractional part is the fraction of epochs in which
+// the budget is rounded up; a hash of the endpoint and the epoch selects them.
 func roundBudget(budget float64, endpoint Endpoint, epoch int64) int {
 	const hashSteps = 1e6
 	whole, fraction := math.Modf(budget)
@@ -18,10 +19,10 @@
 	return int(min(whole, maxTokens))
 }
 
-// splitTokens gives each lease holder an equal part of the tokens, and one more of the rest to
-// those that come first by their hash with the endpoint and the period. More tokens never mean
-// fewer for any holder, so members that compute with different numbers together spend no more
-// than the greatest of them.
+// splitTokens divides the tokens equally among the lease holders, and gives one token of the remainder
+// to each of the first holders in the order of their hash with the endpoint and the period. A holder's
+// share never decreases when tokens grows, so members that compute with different values of tokens
+// together spend no more than the largest of these values.
 func splitTokens(tokens int, endpoint Endpoint, period int64, holders []string) map[string]int {
 	rank := func(name string) uint64 {
 		return hash(name+"\x00"+endpoint.ID, uint64(endpoint.StartedAt), uint64(period))
@@ -40,10 +41,10 @@
 	return tokensByMember
 }
 
-// hash is FNV-1a with a finalizer, as FNV's high bits hardly change with the last bytes. All
-// members must compute the same.
+// hash is FNV-1a with a finalizer, because the last bytes of the input hardly affect the high bits of
+// FNV. All members must compute the same hashes.
 func hash(key string, a, b uint64) uint64 {
-	const multiplier = 0xff51afd7ed558ccd // of MurmurHash3's finalizer
+	const multiplier = 0xff51afd7ed558ccd // from the finalizer of MurmurHash3
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	for _, x := range [2]uint64{a, b} {
