--- a/internal/fleet/agentapi/call.go
+++ b/internal/fleet/agentapi/call.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// operatorTimeout is how long the agent may take for an operator's answer: a replicated log
-// without a leader needs some seconds to say so.
+// operatorTimeout bounds an operator's call. A replicated log without a leader takes several
+// seconds to report that.
 const operatorTimeout = 10 * time.Second
 
-// Call sends an operator's request to the agent at addr and reads its answer into into. What the
-// agent rejects is a *CallError.
+// Call sends an operator's request to the agent at addr and decodes the response into the value that
+// into points to. It returns a *CallError if the agent rejects the request.
 func Call(addr string, request, into any) error {
 	conn, err := net.DialTimeout("tcp", addr, responseTimeout)
 	if err != nil {
--- a/internal/fleet/agentapi/client.go
+++ b/internal/fleet/agentapi/client.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// ReportInterval is how often the node reports: often enough to use tokens that are valid for half
-// an epoch, and to learn what the fleet has decided, seldom enough to cost nothing beside its
-// traffic.
+// ReportInterval is the time between two reports of a node. It is short enough for the node to use
+// tokens that are valid for half an epoch and to receive the fleet's decisions in time, and long
+// enough for the cost of reporting to be negligible beside the node's traffic.
 const ReportInterval = 100 * time.Millisecond
 
-// Client is the node's end. Its functions are called on Run's goroutine.
+// Client is the node's end of the connection to its agent. Its callbacks run on Run's goroutine.
 type Client struct {
 	Addr           string
 	MakeReport     func() Report
 	HandleResponse func(Response)
-	OnDisconnect   func(err error) // called once each time that the agent can't be reached any more
+	OnDisconnect   func(err error) // called once each time the agent becomes unreachable
 }
 
-// Run reports until ctx ends, and reconnects every ReportInterval.
+// Run sends reports until ctx ends. After a connection has failed, it reconnects at the next tick of
+// ReportInterval.
 func (c *Client) Run(ctx context.Context) {
 	tick := time.NewTicker(ReportInterval)
 	defer tick.Stop()
-	connected := true // so that an agent that was never there is reported too
+	connected := true // initially true so that OnDisconnect also reports an agent that was never reachable
 	for {
-		err := c.converse(ctx, tick, func() { connected = true })
+		err := c.exchangeReports(ctx, tick, func() { connected = true })
 		if ctx.Err() != nil {
 			return
 		}
@@ -40,8 +41,9 @@
 	}
 }
 
-// converse reports over one connection until it breaks. It calls connected after each response.
-func (c *Client) converse(ctx context.Context, tick *time.Ticker, connected func()) error {
+// exchangeReports sends reports and handles responses over one connection until it fails. It calls
+// onResponse after each response.
+func (c *Client) exchangeReports(ctx context.Context, tick *time.Ticker, onResponse func()) error {
 	conn, err := (&net.Dialer{Timeout: responseTimeout}).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
 		return err
@@ -61,7 +63,7 @@
 		if err := readLine(scanner, &response); err != nil {
 			return err
 		}
-		connected()
+		onResponse()
 		c.HandleResponse(response)
 		if response.More && ctx.Err() == nil {
 			continue
@@ -72,7 +74,7 @@
 	}
 }
 
-// waitForTick returns ctx's error if that ends first.
+// waitForTick waits for the next tick. It returns ctx's error if ctx ends first.
 func waitForTick(ctx context.Context, tick *time.Ticker) error {
 	select {
 	case <-ctx.Done():
--- a/internal/fleet/agentapi/doc.go
+++ b/internal/fleet/agentapi/doc.go
@@ -1,10 +1,11 @@
-// Package agentapi is how a node and the fleet agent beside it talk: the node reports what it has
-// used, the agent responds with what it may use now, a line of JSON each over a loopback
-// connection. The agent is a process of its own, so that the node stays lean and goes on alone
-// when the agent is gone. Operators call the agent on the same port. Nothing is decided here.
+// Package agentapi implements the protocol between a node and the fleet agent on the same host. The
+// node reports its usage and the agent responds with the node's current quota; each message is one
+// line of JSON over a loopback connection. The agent is a separate process, which keeps the node
+// small and lets it continue without the agent. Operators call the agent on the same port. The
+// package only transports messages and makes no quota decisions.
 //
-// Goroutines: Client.Run and Serve run on their callers' and end with their context. Serve starts
-// one for each connection, which ends with the connection or the context; it does not wait for
-// them. Errors: Call returns a *CallError for what the agent rejects, and wraps all else with the
-// agent's address.
+// Client.Run and Serve run on the caller's goroutine and return when their context ends. Serve
+// starts one goroutine per connection, which ends with the connection or the context; Serve does not
+// wait for these goroutines. Call returns a *CallError for a request that the agent rejects, and
+// wraps every other error with the agent's address.
 package agentapi
--- a/internal/fleet/agentapi/lines.go
+++ b/internal/fleet/agentapi/lines.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// MaxLineBytes is how long a line may be: one of some ten thousand endpoints.
+	// MaxLineBytes is the maximum length of a line. A message about ten thousand endpoints fits.
 	MaxLineBytes = 2 << 20
-	// scanBufferBytes is what a connection's buffer begins with.
+	// scanBufferBytes is the initial size of a connection's read buffer.
 	scanBufferBytes = 4096
-	// responseTimeout is how long a response may take before the node connects anew.
+	// responseTimeout is how long a node waits for a response before it reconnects.
 	responseTimeout = time.Second
 )
 
-// errClosed is that the other end closed the connection instead of answering.
+// errClosed is returned when the peer closes the connection without responding.
 var errClosed = errors.New("closed")
 
 func newLineScanner(conn net.Conn) *bufio.Scanner {
@@ -26,7 +26,7 @@
 	return scanner
 }
 
-// readLine reads a message from the next line.
+// readLine decodes the next line into message.
 func readLine(scanner *bufio.Scanner, message any) error {
 	if !scanner.Scan() {
 		if scanner.Err() != nil {
@@ -37,7 +37,7 @@
 	return json.Unmarshal(scanner.Bytes(), message)
 }
 
-// writeLine writes a message as a line.
+// writeLine encodes message as one line of JSON.
 func writeLine(conn net.Conn, message any) error {
 	return json.NewEncoder(conn).Encode(message)
 }
--- a/internal/fleet/agentapi/messages.go
+++ b/internal/fleet/agentapi/messages.go
@@ -9,56 +9,57 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// The JSON keys of messages are older than the names here and stay as they are: nodes, agents and
-// operators' commands of two versions talk during a rollout. An end that does not know a field
-// leaves it out or ignores it.
+// The JSON keys of the messages must not change, although they differ from the names of the Go
+// fields: during a rollout, nodes, agents and operators' commands of two versions exchange messages.
+// A sender omits fields that it does not support, and a receiver ignores unknown ones.
 
-// Report is what a node sends to its agent, every ReportInterval and at once after a Response with
-// More.
+// Report is the message that a node sends to its agent every ReportInterval, and immediately after a
+// Response with More set.
 type Report struct {
 	balance.QuotaUsage
-	TableIndex         uint64 `json:"table,omitempty"`  // of the table of routes that the node has
-	PartialTableIndex  uint64 `json:"toward,omitempty"` // of the one that it is receiving,
-	TablePartsReceived int    `json:"part,omitempty"`   // of which it has so many parts
+	TableIndex         uint64 `json:"table,omitempty"`  // index of the node's current route table
+	PartialTableIndex  uint64 `json:"toward,omitempty"` // index of the route table being received
+	TablePartsReceived int    `json:"part,omitempty"`   // parts received of PartialTableIndex
 
-	LeaseNumber         uint64 `json:"deal,omitempty"`  // of the lease that it has, in part or complete,
-	LeasePartsReceived  int    `json:"piece,omitempty"` // of which it has so many parts
-	CompleteLeaseNumber uint64 `json:"even,omitempty"`  // of the last that it has complete
+	LeaseNumber         uint64 `json:"deal,omitempty"`  // number of the latest lease, partial or complete
+	LeasePartsReceived  int    `json:"piece,omitempty"` // parts received of LeaseNumber
+	CompleteLeaseNumber uint64 `json:"even,omitempty"`  // number of the latest complete lease
 
-	Usage            *account.Usage `json:"uses,omitempty"`      // what it has used, without member and time
-	Samples          []slo.Sample   `json:"samples,omitempty"`   // response times by contract, of the slots that are over
-	ContractsVersion uint64         `json:"contracts,omitempty"` // of those that the node measures
+	Usage            *account.Usage `json:"uses,omitempty"`      // the node's usage, without member and time
+	Samples          []slo.Sample   `json:"samples,omitempty"`   // response times of completed slots
+	ContractsVersion uint64         `json:"contracts,omitempty"` // version of the ContractList in use
 }
 
-// Response is what the agent answers to a Report.
+// Response is the agent's response to a Report.
 //
-// The table of routes comes as changes to the one that the node has, a lease complete; either in
-// parts where it is long, one with each response. A lease's even shares are left out where they
-// are those of the lease that the node has.
+// The route table is sent as changes to the node's current table, a lease is sent in full. If either
+// is too long for one response, it is split into parts and each response carries one part. The even
+// shares of a lease are omitted if they equal those of the lease that the node holds.
 type Response struct {
 	balance.QuotaLease
-	Table      *routeupdate.Update `json:"table,omitempty"` // a part of the update; nil for none
-	TableParts int                 `json:"parts,omitempty"` // how many the update has in all
+	Table      *routeupdate.Update `json:"table,omitempty"` // one part of the update; nil for none
+	TableParts int                 `json:"parts,omitempty"` // total number of parts of the update
 
-	Lease       *account.QuotaLease `json:"rights,omitempty"` // a part of the lease; nil for none
+	Lease       *account.QuotaLease `json:"rights,omitempty"` // one part of the lease; nil for none
 	LeaseNumber uint64              `json:"deal,omitempty"`
-	LeaseParts  int                 `json:"pieces,omitempty"` // how many the lease has in all
+	LeaseParts  int                 `json:"pieces,omitempty"` // total number of parts of the lease
 
-	More      bool          `json:"more,omitempty"`     // there are further parts: the node is to report at once
-	Contracts *ContractList `json:"promised,omitempty"` // nil for as before
+	More      bool          `json:"more,omitempty"`     // more parts follow: the node must report immediately
+	Contracts *ContractList `json:"promised,omitempty"` // nil if unchanged
 }
 
-// OperatorRequest is what operators send: the method is "state", "record" (all that the replicated
-// log holds), "check" or "propose", the last two with an entry. Nodes' lines have no method.
+// OperatorRequest is the message that operators' commands send. The method is "state", "record" (the
+// full content of the replicated log), "check" or "propose"; the last two take an entry. A line from
+// a node has no method.
 type OperatorRequest struct {
 	Method string          `json:"ask"`
 	Entry  json.RawMessage `json:"entry,omitempty"`
 }
 
-// CallError is the answer to a request that the agent rejects, and the error that Call makes of it.
+// CallError is the agent's response to a request that it rejects. Call returns it as an error.
 type CallError struct {
 	Message        string `json:"error"`
-	OutcomeUnknown bool   `json:"unknown,omitempty"` // what was requested may have been done, or may yet be
+	OutcomeUnknown bool   `json:"unknown,omitempty"` // the request may have taken effect, or may still do so
 }
 
 func (e *CallError) Error() string { return e.Message }
--- a/internal/fleet/agentapi/reassembler.go
+++ b/internal/fleet/agentapi/reassembler.go
@@ -7,33 +7,33 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// maxParts bounds the parts of an update or a lease: each has some kilobytes.
+// maxParts limits the number of parts of an update or a lease, each of which has several kilobytes.
 const maxParts = 1 << 14
 
-// Reassembler puts the parts of updates and leases together, on the node's side. Its zero value has
-// none. It is for one goroutine.
+// Reassembler reassembles updates and leases from their parts on the node. The zero value is ready
+// to use. A Reassembler is not safe for concurrent use.
 type Reassembler struct {
-	tableIndex uint64 // of the update that is being received
+	tableIndex uint64 // index of the update being received
 	table      routeupdate.Update
-	tableParts int // received
+	tableParts int // number of parts received
 
-	leaseNumber uint64 // of the lease that is being received, or was received last
+	leaseNumber uint64 // number of the lease being received, or of the last one received
 	lease       account.QuotaLease
-	leaseParts  int // received
+	leaseParts  int // number of parts received
 
-	completeLeaseNumber uint64 // of the last complete lease,
-	evenShares          map[string]account.Amounts
+	completeLeaseNumber uint64                     // number of the last complete lease
+	evenShares          map[string]account.Amounts // even shares of the last complete lease
 }
 
-// FillProgress puts what was received into a report.
+// FillProgress sets the fields of a report that state which updates and leases have been received.
 func (r *Reassembler) FillProgress(report *Report) {
 	report.PartialTableIndex, report.TablePartsReceived = r.tableIndex, r.tableParts
 	report.LeaseNumber, report.LeasePartsReceived = r.leaseNumber, r.leaseParts
 	report.CompleteLeaseNumber = r.completeLeaseNumber
 }
 
-// AddTable takes a response's part of an update, and returns the update once it is complete. A part
-// of another update discards what was received of the one before.
+// AddTable adds the part of an update that a response carries, and returns the update once all parts
+// have been received. A part of a different update discards the parts received so far.
 func (r *Reassembler) AddTable(response *Response) (update routeupdate.Update, isComplete bool) {
 	part := response.Table
 	switch {
@@ -55,15 +55,16 @@
 	return update, true
 }
 
-// AddLease takes a response's part of a lease, and returns the lease once it is complete. A part of
-// another lease discards what was received of the one before.
+// AddLease adds the part of a lease that a response carries, and returns the lease once all parts
+// have been received. A part of a different lease discards the parts received so far.
 func (r *Reassembler) AddLease(response *Response) (lease account.QuotaLease, isComplete bool) {
 	part := response.Lease
 	if part == nil || response.LeaseParts > maxParts {
 		return account.QuotaLease{}, false
 	}
-	if isComplete := r.lease.Allocated == nil && r.leaseParts > 0; isComplete && response.LeaseNumber == r.leaseNumber {
-		return account.QuotaLease{}, false // a part too many, of a lease that is complete
+	if isComplete := r.lease.Allocated == nil && r.leaseParts > 0; isComplete &&
+		response.LeaseNumber == r.leaseNumber {
+		return account.QuotaLease{}, false // surplus part of a lease that is already complete
 	}
 	if r.leaseParts == 0 || response.LeaseNumber != r.leaseNumber {
 		r.leaseNumber, r.leaseParts = response.LeaseNumber, 0
--- a/internal/fleet/agentapi/reassembler_test.go
+++ b/internal/fleet/agentapi/reassembler_test.go
@@ -46,12 +46,13 @@
 	return lease
 }
 
-// Whatever is split comes together again, also where the agent starts again in between or passes on
-// to something newer; what is incomplete is never used.
-func TestReassemblesWhatWasSplit(t *testing.T) {
+// Split updates and leases are reassembled unchanged, also after the agent has abandoned an earlier
+// update or lease halfway because it restarted or has a newer one. The incomplete ones are never used.
+func TestReassemblesSplitUpdatesAndLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counts := rapid.IntRange(0, 20)
-		update := newTestUpdate(counts.Draw(t, "routes"), counts.Draw(t, "removed"), counts.Draw(t, "allocations"))
+		update := newTestUpdate(
+			counts.Draw(t, "routes"), counts.Draw(t, "removed"), counts.Draw(t, "allocations"))
 		lease := newTestLease(counts.Draw(t, "paths")+1, rapid.Bool().Draw(t, "even shares"))
 		maxBytes := rapid.IntRange(1, 2000).Draw(t, "max bytes")
 		leases := SplitLease(lease, maxBytes)
@@ -72,14 +73,18 @@
 			lease.EvenShares = earlier.EvenShares
 		}
 		reassembleLease(t, &reassembler, leases, lease)
-		report, want := Report{}, Report{CompleteLeaseNumber: 3, LeaseNumber: 3, LeasePartsReceived: len(leases)}
+		report, want := Report{}, Report{
+			CompleteLeaseNumber: 3, LeaseNumber: 3, LeasePartsReceived: len(leases)}
 		if reassembler.FillProgress(&report); !reflect.DeepEqual(report, want) {
 			t.Fatalf("%+v", report)
 		}
 	})
 }
 
-func reassembleTable(t *rapid.T, reassembler *Reassembler, parts []routeupdate.Update, want routeupdate.Update) {
+// reassembleTable adds the parts of an update and checks the reassembled update.
+func reassembleTable(
+	t *rapid.T, reassembler *Reassembler, parts []routeupdate.Update, want routeupdate.Update,
+) {
 	for i := range parts {
 		got, isComplete := reassembler.AddTable(&Response{Table: &parts[i], TableParts: len(parts)})
 		isLast := i == len(parts)-1
@@ -89,10 +94,13 @@
 	}
 }
 
-// reassembleLease adds a lease of number 3.
-func reassembleLease(t *rapid.T, reassembler *Reassembler, parts []account.QuotaLease, want account.QuotaLease) {
+// reassembleLease adds the parts of lease number 3 and checks the reassembled lease.
+func reassembleLease(
+	t *rapid.T, reassembler *Reassembler, parts []account.QuotaLease, want account.QuotaLease,
+) {
 	for i := range parts {
-		got, isComplete := reassembler.AddLease(&Response{Lease: &parts[i], LeaseNumber: 3, LeaseParts: len(parts)})
+		got, isComplete := reassembler.AddLease(
+			&Response{Lease: &parts[i], LeaseNumber: 3, LeaseParts: len(parts)})
 		isLast := i == len(parts)-1
 		if isComplete != isLast || isLast && !reflect.DeepEqual(got, want) {
 			t.Fatalf("part %d of %d: %v, %+v, want %+v", i, len(parts), isComplete, got, want)
@@ -100,9 +108,9 @@
 	}
 }
 
-// The first table and lease of as many routes as a tree of accounts holds pass in responses that the
-// other end reads.
-func TestPartsOfTheLargestTableFitALine(t *testing.T) {
+// The initial table and lease of the largest possible account tree are split into responses that do
+// not exceed MaxLineBytes, the longest line that the node reads.
+func TestPartsOfLargestTableFitInOneLine(t *testing.T) {
 	update, lease := newTestUpdate(16_384, 0, 1000), newTestLease(24_576, true)
 	update.Set[7].Owner = strings.Repeat("o", 30_000)
 	tables, leases := SplitTable(update, MaxPartBytes), SplitLease(lease, MaxPartBytes)
@@ -116,35 +124,36 @@
 	for _, response := range responses {
 		raw, err := json.Marshal(response)
 		if err != nil || len(raw) > MaxLineBytes {
-			t.Errorf("%d bytes, %v", len(raw), err)
+			t.Errorf("response of %d bytes, %v", len(raw), err)
 		}
 	}
 	if len(tables) < 2 || len(leases) < 2 {
-		t.Errorf("%d and %d parts", len(tables), len(leases))
+		t.Errorf("%d table parts and %d lease parts, want at least 2 of each", len(tables), len(leases))
 	}
 }
 
-// A part too many of a lease that is complete, and a number of parts that nobody sends, change nothing.
-// The first once wrote to a map that was gone.
-func TestIgnoresPartsThatCannotBe(t *testing.T) {
+// A surplus part of a complete lease and a part count above maxParts change nothing. A surplus part
+// once caused a panic, because it was copied into the nil map that a complete lease leaves behind.
+func TestIgnoresUnexpectedParts(t *testing.T) {
 	var reassembler Reassembler
 	lease := newTestLease(2, true)
 	part := Response{Lease: &lease, LeaseNumber: 1, LeaseParts: 1}
 	if _, isComplete := reassembler.AddLease(&part); !isComplete {
-		t.Fatal("one part of one is not complete")
+		t.Fatal("a lease of one part is not complete after its only part")
 	}
 	if _, isComplete := reassembler.AddLease(&part); isComplete {
-		t.Error("a second part of one completed it again")
+		t.Error("a duplicate of the only part completed the lease again")
 	}
-	endless := Response{Lease: &lease, LeaseNumber: 2, LeaseParts: maxParts + 1,
+	tooManyParts := Response{Lease: &lease, LeaseNumber: 2, LeaseParts: maxParts + 1,
 		Table: &routeupdate.Update{Index: 3}, TableParts: maxParts + 1}
-	reassembler.AddLease(&endless)
-	reassembler.AddTable(&endless)
+	reassembler.AddLease(&tooManyParts)
+	reassembler.AddTable(&tooManyParts)
 	var report Report
 	if reassembler.FillProgress(&report); report.LeaseNumber != 1 || report.PartialTableIndex != 0 {
 		t.Errorf("progress %+v", report)
 	}
-	if _, isComplete := reassembler.AddLease(&Response{Lease: &lease, LeaseNumber: 3, LeaseParts: 1}); !isComplete {
-		t.Error("the next lease is not taken")
+	if _, isComplete := reassembler.AddLease(
+		&Response{Lease: &lease, LeaseNumber: 3, LeaseParts: 1}); !isComplete {
+		t.Error("the next lease is not accepted")
 	}
 }
--- a/internal/fleet/agentapi/routeupdate/diff.go
+++ b/internal/fleet/agentapi/routeupdate/diff.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Diff returns the update that turns one complete update into another.
+// Diff returns the update that changes the routes of the complete update before into those of after.
 func Diff(before, after Update) Update {
 	update := Update{Index: after.Index, BaseIndex: before.Index}
 	update.Set, update.Removed = diffEntries(before.Set, after.Set)
@@ -20,7 +20,7 @@
 	return update
 }
 
-// diffEntries returns the entries that are new or changed, and the paths of those that are gone.
+// diffEntries returns the new and changed entries, and the paths of the removed ones.
 func diffEntries(before, after []Entry) (set []Entry, removed []string) {
 	previous := map[string]*Entry{}
 	for i := range before {
@@ -36,8 +36,8 @@
 	return set, slices.Sorted(maps.Keys(previous))
 }
 
-// diffAllocations returns the allocations that are new or changed, and then those that are gone,
-// without shares.
+// diffAllocations returns the new and changed allocations, followed by one without shares for each
+// removed allocation.
 func diffAllocations(before, after []Allocation) []Allocation {
 	var changed []Allocation
 	previous := map[string]Allocation{}
--- a/internal/fleet/agentapi/routeupdate/diff_test.go
+++ b/internal/fleet/agentapi/routeupdate/diff_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-func TestDiffNamesWhatIsNewChangedAndGone(t *testing.T) {
+func TestDiffListsAddedChangedAndRemoved(t *testing.T) {
 	kept, changed := Entry{Name: "kept", Owner: "acme"}, Entry{Name: "changed", Owner: "acme"}
 	gone, added := Entry{Name: "gone", Owner: "acme"}, Entry{Name: "added", Owner: "acme"}
 	before := Update{
 		Index: 4, Complete: true,
-		Set:            []Entry{changed, gone, kept},
-		Allocations:    []Allocation{{Contract: "gone", Shares: map[string]float64{"a": 1}}, {Contract: "kept"}},
+		Set: []Entry{changed, gone, kept},
+		Allocations: []Allocation{
+			{Contract: "gone", Shares: map[string]float64{"a": 1}}, {Contract: "kept"}},
 		ReadyEndpoints: map[string]int{"a": 3},
 	}
 	changed.Contract = "gold"
@@ -28,9 +29,9 @@
 		ReadyEndpoints: map[string]int{},
 	}
 	if got := Diff(before, after); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("update %+v, want %+v", got, want)
 	}
 	if got := Diff(after, after); !reflect.DeepEqual(got, Update{Index: 9, BaseIndex: 9}) {
-		t.Errorf("of two that are equal: %+v", got)
+		t.Errorf("equal updates: %+v", got)
 	}
 }
--- a/internal/fleet/agentapi/routeupdate/update.go
+++ b/internal/fleet/agentapi/routeupdate/update.go
@@ -1,6 +1,6 @@
-// Package routeupdate is the form in which an agent sends routes to its node: complete, or as the
-// changes since an earlier index. It stands beside the API that carries it (package agentapi), and
-// is what package route compiles. It does no I/O, reads no clock and starts no goroutine.
+// Package routeupdate defines the format in which an agent sends routes to its node: the complete
+// table, or the changes since an earlier index. Package agentapi transports updates and package
+// route compiles them. The package does no I/O, reads no clock and starts no goroutine.
 package routeupdate
 
 import (
@@ -9,33 +9,33 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// Update is the routes of the replicated log, or what has changed of them since an index. It names
-// zones where the log may name regions. Nodes and agents of two versions exchange it: its JSON keys
-// stay as they are.
+// Update contains the routes of the replicated log, or their changes since an index. It names zones
+// where the log may name regions. The JSON keys must not change, because nodes and agents of two
+// versions exchange updates.
 type Update struct {
 	Index          uint64         `json:"index"`
 	Complete       bool           `json:"whole,omitempty"`
-	BaseIndex      uint64         `json:"since,omitempty"` // the Index that the changes are made to
-	Set            []Entry        `json:"set,omitempty"`   // routes that are new or changed
-	Removed        []string       `json:"gone,omitempty"`  // paths of routes
-	Allocations    []Allocation   `json:"steer,omitempty"` // by contract; one without shares is removed
-	ReadyEndpoints map[string]int `json:"ready,omitempty"` // by zone, all of them; nil for as before
+	BaseIndex      uint64         `json:"since,omitempty"` // Index of the update that the changes apply to
+	Set            []Entry        `json:"set,omitempty"`   // new and changed routes
+	Removed        []string       `json:"gone,omitempty"`  // paths of removed routes
+	Allocations    []Allocation   `json:"steer,omitempty"` // new and changed; without shares: removed
+	ReadyEndpoints map[string]int `json:"ready,omitempty"` // counts of all zones; nil if unchanged
 }
 
-// Entry is a route as the node needs it.
+// Entry is a route with the fields that the node needs.
 type Entry struct {
 	Name         string              `json:"name"`  // unique within its owner
 	Owner        string              `json:"owner"` // path, such as acme/web
 	Match        account.Match       `json:"match"`
 	ZoneShares   []account.ZoneShare `json:"parts,omitempty"` // in percent of the route's sessions
-	AllowedZones []string            `json:"zones,omitempty"` // that the owner may use; empty for all
+	AllowedZones []string            `json:"zones,omitempty"` // zones that the owner may use; empty for all
 	Contract     string              `json:"contract,omitempty"`
 }
 
-// Path is how limits and usage name the route.
+// Path returns the name of the route in limits and usage: owner, colon, name.
 func (e *Entry) Path() string { return e.Owner + ":" + e.Name }
 
-// Validate returns why a route can't be used.
+// Validate returns an error if the route can't be used.
 func (e *Entry) Validate() error {
 	from, to := e.Match.HashFrom, e.Match.HashTo
 	switch {
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// Allocation is where a contract's sessions go: shares by zone that add up to 1, with those that
-// explore.
+// Allocation distributes a contract's sessions over zones. The shares by zone add up to 1, including
+// the sessions that explore.
 type Allocation struct {
 	Contract      string             `json:"contract"`
 	Shares        map[string]float64 `json:"shares,omitempty"`
-	RejectedShare float64            `json:"over,omitempty"` // of its set-ups, those that no zone has capacity for
+	RejectedShare float64            `json:"over,omitempty"` // share of set-ups above all zones' capacity
 }
--- a/internal/fleet/agentapi/server.go
+++ b/internal/fleet/agentapi/server.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// Agent answers on the agent's port. Both methods may be called by several connections at once.
+// Agent handles the requests that Serve receives. Both methods may be called concurrently.
 type Agent interface {
-	// HandleReport takes what a node reports.
+	// HandleReport handles a node's report and returns the response to it.
 	HandleReport(Report) Response
-	// HandleOperator takes an operator's request, and gives up when ctx ends. Its error may be a
-	// *CallError.
+	// HandleOperator handles an operator's request and returns when ctx ends at the latest. Its
+	// error may be a *CallError.
 	HandleOperator(context.Context, OperatorRequest) (any, error)
 }
 
 const (
-	// maxConnections are served at once: a node has one, and for a moment a second while it
-	// reconnects, and an operator's lasts for one request.
+	// maxConnections is the maximum number of concurrent connections. A node has one, briefly two
+	// while it reconnects, and an operator's connection lasts for one request.
 	maxConnections = 8
-	// idleTimeout is how long a connection may send nothing.
+	// idleTimeout is how long a connection may be idle before it is closed.
 	idleTimeout = 10 * time.Second
-	// handlerTimeout leaves time to send the answer before the operator's command gives up.
+	// handlerTimeout bounds HandleOperator. It is below operatorTimeout so that the response reaches
+	// the operator's command before the command times out.
 	handlerTimeout = operatorTimeout / 2
 )
 
-// Serve answers on a listener until ctx ends, and closes it then. Its error is the listener's. A
-// connection beyond maxConnections is closed at once.
+// Serve accepts connections on a listener until ctx ends, and then closes the listener. It returns
+// the error of Accept. Connections beyond maxConnections are closed immediately.
 func Serve(ctx context.Context, listener net.Listener, agent Agent) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -57,7 +58,7 @@
 	}
 }
 
-// serveConn answers one connection until it breaks off, or was answered as an operator's.
+// serveConn serves a node's connection until it fails, or responds to one operator's request.
 func serveConn(ctx context.Context, conn net.Conn, agent Agent) {
 	scanner := newLineScanner(conn)
 	for {
@@ -70,31 +71,32 @@
 			OperatorRequest
 		}
 		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
-			_ = answer(conn, &CallError{Message: fmt.Sprintf("the line can't be read: %v", err)})
+			_ = writeResponse(conn, &CallError{Message: fmt.Sprintf("the line can't be read: %v", err)})
 			return
 		}
 		if line.OperatorRequest.Method != "" {
-			_ = answer(conn, handleOperator(ctx, agent, line.OperatorRequest))
+			_ = writeResponse(conn, handleOperator(ctx, agent, line.OperatorRequest))
 			return
 		}
-		if answer(conn, agent.HandleReport(line.Report)) != nil {
+		if writeResponse(conn, agent.HandleReport(line.Report)) != nil {
 			return
 		}
 	}
 }
 
-// handleOperator returns the agent's answer to an operator, a *CallError for what it rejects.
+// handleOperator returns the agent's response to an operator's request: a *CallError if the agent
+// rejects the request.
 func handleOperator(ctx context.Context, agent Agent, request OperatorRequest) any {
 	ctx, cancel := context.WithTimeout(ctx, handlerTimeout)
 	defer cancel()
 	result, err := agent.HandleOperator(ctx, request)
 	if err != nil {
-		return asCallError(err)
+		return toCallError(err)
 	}
 	return result
 }
 
-func asCallError(err error) *CallError {
+func toCallError(err error) *CallError {
 	var callError *CallError
 	if errors.As(err, &callError) {
 		return callError
@@ -102,7 +104,7 @@
 	return &CallError{Message: err.Error()}
 }
 
-func answer(conn net.Conn, message any) error {
+func writeResponse(conn net.Conn, message any) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(responseTimeout))
 	return writeLine(conn, message)
 }
--- a/internal/fleet/agentapi/server_test.go
+++ b/internal/fleet/agentapi/server_test.go
@@ -12,7 +12,7 @@
 	"coralrelay/balance"
 )
 
-// echoAgent answers with what it is sent.
+// echoAgent responds with values from the request.
 type echoAgent struct{}
 
 func (echoAgent) HandleReport(report Report) Response {
@@ -21,13 +21,13 @@
 
 func (echoAgent) HandleOperator(_ context.Context, request OperatorRequest) (any, error) {
 	if request.Method == "lost" {
-		return nil, &CallError{Message: "who knows", OutcomeUnknown: true}
+		return nil, &CallError{Message: "outcome unknown", OutcomeUnknown: true}
 	}
 	return request.Entry, nil
 }
 
-// serveEcho serves an echoAgent until ctx or the test ends. The function it returns ends it, and
-// waits.
+// serveEcho serves an echoAgent until the test ends or stop is called. stop waits for the server to
+// return; ctx ends with the server.
 func serveEcho(t *testing.T) (ctx context.Context, addr string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	}
 }
 
-// dialMany opens so many connections that some are closed at once.
+// dialMany opens more connections than the server allows, so that it closes some immediately.
 func dialMany(t *testing.T, addr string) (conns []net.Conn) {
 	t.Helper()
 	for range 2 * maxConnections {
@@ -58,7 +58,8 @@
 	return conns
 }
 
-// writeEndlessLine writes until the other end has had enough, and returns that error.
+// writeEndlessLine writes a line without an end until the server closes the connection, and returns
+// the error of that write, or nil if the server accepts far more than MaxLineBytes.
 func writeEndlessLine(conn net.Conn) error {
 	chunk := []byte(strings.Repeat("x", 64<<10))
 	for written := 0; written <= 2*MaxLineBytes+8<<20; written += len(chunk) {
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// Whatever others send on the port, and however many they are, a node is answered.
+// A node receives responses while other clients hold more connections than the server allows and one
+// sends an endless line.
 func TestAnswersANodeBesideIdleAndHostileConnections(t *testing.T) {
 	ctx, addr, stop := serveEcho(t)
 	responses, disconnects := make(chan Response, 100), make(chan error, 100)
@@ -86,10 +88,10 @@
 	last := conns[len(conns)-1]
 	_ = last.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if n, err := last.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("one too many reads %d bytes, %v", n, err)
+		t.Errorf("connection beyond the limit: read %d bytes, %v", n, err)
 	}
 	if writeEndlessLine(conns[0]) == nil {
-		t.Error("a line without an end is taken")
+		t.Error("a line without an end is accepted")
 	}
 	for range cap(responses) {
 		if response := <-responses; response.RetryBudget != 3 {
@@ -112,12 +114,14 @@
 func TestCallReturnsTheAgentsErrors(t *testing.T) {
 	_, addr, stop := serveEcho(t)
 	var got []int
-	if err := Call(addr, OperatorRequest{Method: "echo", Entry: []byte("[1,2]")}, &got); err != nil || len(got) != 2 {
-		t.Errorf("%v, %v", got, err)
+	if err := Call(addr, OperatorRequest{Method: "echo", Entry: []byte("[1,2]")}, &got); err != nil ||
+		len(got) != 2 {
+		t.Errorf("echo returned %v, %v", got, err)
 	}
-	want := CallError{Message: "who knows", OutcomeUnknown: true}
+	want := CallError{Message: "outcome unknown", OutcomeUnknown: true}
 	var callError *CallError
-	if err := Call(addr, OperatorRequest{Method: "lost"}, &got); !errors.As(err, &callError) || *callError != want {
+	if err := Call(addr, OperatorRequest{Method: "lost"}, &got); !errors.As(err, &callError) ||
+		*callError != want {
 		t.Errorf("%v", err)
 	}
 	stop()
--- a/internal/fleet/agentapi/split.go
+++ b/internal/fleet/agentapi/split.go
@@ -9,40 +9,42 @@
 	"coralrelay/internal/fleet/agentapi/routeupdate"
 )
 
-// MaxPartBytes is how much of a table or a lease goes with one response, in bytes of JSON. One item
-// may exceed it: a whole response stays below MaxLineBytes.
+// MaxPartBytes is the maximum size of a part of a table or a lease, in bytes of JSON. A part with a
+// single item may exceed it. The response that carries a part stays below MaxLineBytes.
 const MaxPartBytes = 1 << 20
 
-// splitter spreads items over parts.
+// splitter distributes items over parts of limited size.
 type splitter[P any] struct {
 	parts    []P
-	head     P // what each part has besides its items
+	template P // every part but the first starts as a copy of it
 	size     int
 	maxBytes int
 }
 
-// newSplitter returns a splitter with the first part.
-func newSplitter[P any](first, head P, maxBytes int) *splitter[P] {
-	return &splitter[P]{parts: []P{first}, head: head, maxBytes: maxBytes}
+// newSplitter returns a splitter whose first part is first. Further parts are copies of template.
+func newSplitter[P any](first, template P, maxBytes int) *splitter[P] {
+	return &splitter[P]{parts: []P{first}, template: template, maxBytes: maxBytes}
 }
 
-// partFor returns the part that the next item goes into, by the item's size in bytes.
+// partFor returns the part for the next item, whose size is given in bytes. It starts a new part if
+// the item would take the current one above maxBytes.
 func (s *splitter[P]) partFor(itemSize int) *P {
 	if s.size > 0 && s.size+itemSize > s.maxBytes {
-		s.parts = append(s.parts, s.head)
+		s.parts = append(s.parts, s.template)
 		s.size = 0
 	}
 	s.size += itemSize
 	return &s.parts[len(s.parts)-1]
 }
 
-// SplitTable cuts an update into parts of some size, at least one. Each is for the same index, and
-// together they are the update.
+// SplitTable splits an update into one or more parts of at most maxBytes each. A part with a single
+// item may be larger. All parts have the index of the update, and together they hold all of its items.
 func SplitTable(update routeupdate.Update, maxBytes int) []routeupdate.Update {
-	head := routeupdate.Update{Index: update.Index, Complete: update.Complete, BaseIndex: update.BaseIndex}
-	first := head
+	template := routeupdate.Update{
+		Index: update.Index, Complete: update.Complete, BaseIndex: update.BaseIndex}
+	first := template
 	first.ReadyEndpoints = update.ReadyEndpoints
-	split := newSplitter(first, head, maxBytes)
+	split := newSplitter(first, template, maxBytes)
 	for _, entry := range update.Set {
 		part := split.partFor(sizeOf(entry))
 		part.Set = append(part.Set, entry)
@@ -58,11 +60,12 @@
 	return split.parts
 }
 
-// SplitLease cuts a lease into parts of some size, at least one.
+// SplitLease splits a lease into one or more parts of at most maxBytes each. A part with a single item
+// may be larger.
 func SplitLease(lease account.QuotaLease, maxBytes int) []account.QuotaLease {
-	head := lease
-	head.Allocated, head.EvenShares = nil, nil
-	split := newSplitter(head, head, maxBytes)
+	template := lease
+	template.Allocated, template.EvenShares = nil, nil
+	split := newSplitter(template, template, maxBytes)
 	for _, path := range slices.Sorted(maps.Keys(lease.Allocated)) {
 		amounts := lease.Allocated[path]
 		part := split.partFor(sizeOf(path) + sizeOf(amounts))
@@ -76,7 +79,7 @@
 	return split.parts
 }
 
-// putAmounts adds a path to a map, which is made if it is nil.
+// putAmounts sets the amounts of a path, and allocates the map if it is nil.
 func putAmounts(byPath *map[string]account.Amounts, path string, amounts account.Amounts) {
 	if *byPath == nil {
 		*byPath = map[string]account.Amounts{}
@@ -84,11 +87,11 @@
 	(*byPath)[path] = amounts
 }
 
-// sizeOf returns an item's size as JSON, with what separates it from others.
+// sizeOf returns the size of an item as JSON, including the separators around it.
 func sizeOf(item any) int {
 	raw, err := json.Marshal(item)
 	if err != nil {
-		return 0 // then the response that holds it can't be written, and says so
+		return 0 // writing the response that holds the item returns the error
 	}
 	return len(raw) + 2
 }
