--- a/internal/fleet/account/account_test.go
+++ b/internal/fleet/account/account_test.go
@@ -14,8 +14,9 @@
 
 func nodeWithTenOfEach() *Node { return &Node{Limits: Limits{10, 10, 10, 10, 10, 10}} }
 
-// newTestState returns a tree of one account and two teams. Key 1 has a grant on the account and
-// has delegated web to key 2, who has delegated it to key 3. Then the root applies ops.
+// newTestState returns a tree of one account and two teams. Key 1 has a grant on the account and has
+// delegated permissions on acme/web to key 2, which has delegated them to key 3. Finally the root key
+// applies ops.
 func newTestState(t interface{ Fatal(...any) }, ops ...Op) State {
 	s := New(testPublicKey(0))
 	halfOfEach := &Node{Limits: Limits{5, 5, 5, 5, 4, 2}}
@@ -59,9 +60,10 @@
 func setLimitsOp(path string, node *Node) Op { return Op{Kind: SetLimits, Path: path, Node: node} }
 
 func TestRejectsInvalidChanges(t *testing.T) {
-	wide := nodeWithTenOfEach()
-	wide.Limits.SetupRate = 11
-	scoped := &Node{Limits: nodeWithTenOfEach().Limits, Scope: Scope{Zones: []string{"a"}, Tenants: []string{"t"}}}
+	raised := nodeWithTenOfEach()
+	raised.Limits.SetupRate = 11
+	scoped := &Node{Limits: nodeWithTenOfEach().Limits,
+		Scope: Scope{Zones: []string{"a"}, Tenants: []string{"t"}}}
 	unbounded := &Node{Limits: Limits{Connections: -1}}
 	route := putRouteOp("acme/web", "r", Match{})
 	zoneRoute := func(zone string, percent float64) Op {
@@ -69,7 +71,7 @@
 		op.Route.ZoneShares = []ZoneShare{{zone, percent}}
 		return op
 	}
-	stolenName := Op{Kind: CreateGrant, Path: "acme", Grant: &Grant{
+	mismatchedName := Op{Kind: CreateGrant, Path: "acme", Grant: &Grant{
 		Key: testKey(0), PublicKey: testPublicKey(5), Permissions: []string{PermissionRoutes}}}
 	for _, tt := range []struct {
 		name   string
@@ -77,56 +79,60 @@
 		ops    []Op
 		want   string
 	}{
-		{"a child over its parent", 1, []Op{setLimitsOp("acme/web", wide)}, `open 15, at most 10`},
-		{"a parent below its children", 0, []Op{setLimitsOp("acme", &Node{})},
+		{"children above the limit", 1, []Op{setLimitsOp("acme/web", raised)}, `open 15, at most 10`},
+		{"parent below its children's limits", 0, []Op{setLimitsOp("acme", &Node{})},
 			`"acme": its teams and routes would hold open 10, at most 0`},
-		{"no bound below one", 1, []Op{{Kind: CreateTeam, Path: "acme/new", Node: unbounded}},
+		{"unlimited team below a limit", 1, []Op{{Kind: CreateTeam, Path: "acme/new", Node: unbounded}},
 			`"acme/new" has no bound of open`},
-		{"its own limits", 1, []Op{setLimitsOp("acme", wide)}, "only the root"},
-		{"outside the subtree", 2, []Op{putRouteOp("acme/shop", "r", Match{})}, `has no grant of routes on "acme/shop"`},
-		{"a missing permission", 2, []Op{{Kind: CreateTeam, Path: "acme/web/eu", Node: &Node{}}}, "no grant of teams"},
+		{"limits of the author's own account", 1, []Op{setLimitsOp("acme", raised)}, "only the root"},
+		{"outside the subtree", 2, []Op{putRouteOp("acme/shop", "r", Match{})},
+			`has no grant of routes on "acme/shop"`},
+		{"missing permission", 2, []Op{{Kind: CreateTeam, Path: "acme/web/eu", Node: &Node{}}},
+			"no grant of teams"},
 		{"no depth left", 3, []Op{createGrantOp(4, "acme/web", 0, PermissionRoutes)}, "depth left"},
-		{"more than it has", 2, []Op{createGrantOp(4, "acme/web", 0, PermissionTeams)}, "hands on"},
-		{"nobody's key", 9, []Op{route}, "no grant"},
-		{"another's name", 1, []Op{stolenName}, "its name is"},
+		{"permission not held", 2, []Op{createGrantOp(4, "acme/web", 0, PermissionTeams)}, "hands on"},
+		{"unknown key", 9, []Op{route}, "no grant"},
+		{"key name of another public key", 1, []Op{mismatchedName}, "its name is"},
 		{"overlapping routes", 1, []Op{
 			putRouteOp("acme/web", "a", Match{Class: "x", HashTo: 0.5}),
 			putRouteOp("acme/shop", "b", Match{Class: "x", HashFrom: 0.4, HashTo: 1}),
 		}, `route "acme/shop:b": ties with route "acme/web:a"`},
-		{"percent", 1, []Op{zoneRoute("a", 99)}, "99 % in all"},
-		{"a zone", 0, []Op{setLimitsOp("acme", scoped), zoneRoute("b", 100)},
+		{"zone shares below 100 percent", 1, []Op{zoneRoute("a", 99)}, "99 % in all"},
+		{"zone outside the scope", 0, []Op{setLimitsOp("acme", scoped), zoneRoute("b", 100)},
 			`zone "b" is none that "acme/web" may use`},
-		{"another's tenant", 0, []Op{setLimitsOp("acme", scoped), putRouteOp("acme/web", "r", Match{Tenant: "u"})},
+		{"tenant outside the scope", 0,
+			[]Op{setLimitsOp("acme", scoped), putRouteOp("acme/web", "r", Match{Tenant: "u"})},
 			`may match only t`},
 		{"too many routes", 0, []Op{setLimitsOp("acme/web", &Node{}), route},
 			`"acme/web": its teams and routes would hold routes 1`},
-		{"the second of two", 1, []Op{route, {Kind: DeleteRoute, Path: "acme/web", Name: "s"}}, "operation 2"},
-		{"a team with routes", 0, []Op{route, {Kind: DeleteNode, Path: "acme/web"}}, `has route "acme/web:r"`},
+		{"second fails", 1, []Op{route, {Kind: DeleteRoute, Path: "acme/web", Name: "s"}}, "operation 2"},
+		{"team with routes", 0, []Op{route, {Kind: DeleteNode, Path: "acme/web"}}, `has route "acme/web:r"`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := newTestState(t)
 			after, err := s.Apply(Change{BaseVersion: s.Version, Ops: tt.ops}, testKey(tt.author))
 			if err == nil || !strings.Contains(err.Error(), tt.want) || !reflect.DeepEqual(after, s) {
-				t.Errorf("%v, want %q", err, tt.want)
+				t.Errorf("error %v, want %q", err, tt.want)
 			}
 		})
 	}
 }
 
-func TestNamesTheOperationAtFault(t *testing.T) {
+func TestNamesTheFailingOperation(t *testing.T) {
 	s := newTestState(t)
 	ops := []Op{putRouteOp("acme/web", "r", Match{}), {Kind: DeleteRoute, Path: "acme/web", Name: "s"}}
 	_, err := s.Apply(Change{BaseVersion: s.Version, Ops: ops}, testKey(1))
 	var opError *OpError
-	if !errors.As(err, &opError) || opError.Number != 2 || opError.Kind != DeleteRoute || opError.Path != "acme/web" {
+	if !errors.As(err, &opError) || opError.Number != 2 ||
+		opError.Kind != DeleteRoute || opError.Path != "acme/web" {
 		t.Fatalf("%#v", err)
 	}
 	if want := `operation 2, "no-route" on "acme/web": no route "s"`; err.Error() != want {
-		t.Errorf("%s, want %s", err, want)
+		t.Errorf("error %s, want %s", err, want)
 	}
 }
 
-func TestRejectsChangesToWhatItsAuthorHasNotSeen(t *testing.T) {
+func TestRejectsChangesBasedOnStaleVersions(t *testing.T) {
 	s := newTestState(t)
 	base := s.Version
 	putR := Change{BaseVersion: base, Ops: []Op{putRouteOp("acme/web", "r", Match{})}}
@@ -139,19 +145,19 @@
 		t.Errorf("another route: %v", err)
 	}
 	if _, err := s.Apply(putR, testKey(2)); err == nil {
-		t.Error("an entry was accepted twice")
+		t.Error("a change was accepted twice")
 	}
 	deleteR := Change{BaseVersion: s.Version, Ops: []Op{{Kind: DeleteRoute, Path: "acme/web", Name: "r"}}}
 	if s, err = s.Apply(deleteR, testKey(2)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Apply(putR, testKey(2)); err == nil {
-		t.Error("an entry was accepted again after its route had been deleted")
+		t.Error("a change was accepted again after its route had been deleted")
 	}
 	exclusive := Change{BaseVersion: base, RequireUnchanged: true,
 		Ops: []Op{putRouteOp("acme/shop", "t", Match{Class: "y"})}}
 	if _, err := s.Apply(exclusive, testKey(1)); err == nil {
-		t.Error("accepted on an older version of the state")
+		t.Error("a change with RequireUnchanged was accepted on an older version of the state")
 	}
 }
 
@@ -172,7 +178,7 @@
 	}
 }
 
-func TestShrinksChildrenWhenTheirParentIsCut(t *testing.T) {
+func TestShrinksChildrenWhenParentLimitIsReduced(t *testing.T) {
 	for _, tt := range []struct {
 		policy            string
 		rate              float64
@@ -194,12 +200,14 @@
 		}
 		shop, web := s.Nodes["acme/shop"].Limits.SetupRate, s.Nodes["acme/web"].Limits.SetupRate
 		if shop != tt.wantShop || web != tt.wantWeb {
-			t.Errorf("%s to %v: shop %v, web %v, want %v and %v", tt.policy, tt.rate, shop, web, tt.wantShop, tt.wantWeb)
+			t.Errorf("%s to %v: shop %v, web %v, want %v and %v",
+				tt.policy, tt.rate, shop, web, tt.wantShop, tt.wantWeb)
 		}
 	}
 }
 
-// With a check switched off, what it guards against can be seen; with all on, it can't.
+// Disabling a check makes the violation that it prevents observable; with all checks enabled, the same
+// change causes no violation.
 func TestDisabledChecksLetViolationsThrough(t *testing.T) {
 	route := putRouteOp("acme/web", "r", Match{})
 	revoke := Op{Kind: RevokeGrant, Path: "acme/web", Name: testKey(2)}
@@ -213,12 +221,14 @@
 	}{
 		{"parent", DisabledChecks{ParentLimit: true}, 1, []Op{setLimitsOp("acme/web", nodeWithTenOfEach())},
 			func(s State) bool { return s.Validate() != nil }},
-		{"subtree", DisabledChecks{GrantSubtree: true}, 3, []Op{putRouteOp("acme/shop", "r", Match{})}, hasRoute},
+		{"subtree", DisabledChecks{GrantSubtree: true}, 3,
+			[]Op{putRouteOp("acme/shop", "r", Match{})}, hasRoute},
 		{"revoke", DisabledChecks{RevokeDescendants: true}, 1, []Op{revoke},
 			func(s State) bool {
 				return s.Validate() != nil && s.authorize(testKey(3), PermissionRoutes, "acme/web") == nil
 			}},
-		{"half", DisabledChecks{AtomicChange: true}, 1, []Op{route, {Kind: DeleteNode, Path: "acme/no"}}, hasRoute},
+		{"half", DisabledChecks{AtomicChange: true}, 1,
+			[]Op{route, {Kind: DeleteNode, Path: "acme/no"}}, hasRoute},
 	} {
 		for _, isDisabled := range []bool{false, true} {
 			s := newTestState(t)
--- a/internal/fleet/account/allocate.go
+++ b/internal/fleet/account/allocate.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// allocator computes one member's part of each limit for one half epoch.
+// allocator computes one member's share of each limit for one half epoch.
 type allocator struct {
 	cfg             LeaseConfig
 	halfEpoch       int64
 	self            string
-	ranks           map[string]int // of the holders in this half
-	firstHalfRanks  map[string]int // and in the epoch's first
-	connectionRanks map[string]int // the same in all halves
-	unreported      []string       // holders of whom it is not known what they spent in the first half
+	ranks           map[string]int // ranks of the holders in this half
+	firstHalfRanks  map[string]int // ranks of the holders in the first half of the epoch
+	connectionRanks map[string]int // ranks for connections, the same in all halves
+	unreported      []string       // holders whose spending in the first half is unknown
 	spentFirstHalf  map[string]amountValues
 }
 
-// Allocate returns what a member may use in the half epoch in which now lies, in Unix time.
-// Holders are the members that count, self among them, as package quota has them: alive, or failed
-// less than HolderTimeout ago. Reports are the members' latest, self's own among them.
+// Allocate returns the lease of the member self for the half epoch that contains now, a Unix time.
+// Holders are the members that limits are allocated to, including self: as in package quota, those
+// that are alive or have failed less than HolderTimeout ago. Reports are the latest reports of the
+// members, including that of self.
 //
-// Each limit is allocated over the members as package quota allocates the budget of an endpoint
-// that is warming up: all of an epoch's tokens in its first half, and again in the second what is
-// known not to have been spent. What a member has of a parent's is then distributed among the
-// children by what this member demands of each. No report makes the sum over all members greater.
+// Each limit is allocated among the members in the same way as package quota allocates the budget of
+// an endpoint that is warming up: all tokens of an epoch in its first half, and the tokens that are
+// known to be unspent again in the second. The member's share of a parent's limit is then distributed
+// among the children according to the member's demand on each. No report can increase the sum over all
+// members.
 func Allocate(
 	now time.Duration, cfg LeaseConfig, state State, reports []Usage, holders []string, self string,
 ) QuotaLease {
@@ -49,22 +51,22 @@
 		HolderRank:  alloc.connectionRanks[self],
 		HolderCount: count,
 		EvenShares:  state.evenShares(count),
-		Allocated:   state.distribute(ownUsage, alloc.allot),
+		Allocated:   state.distribute(ownUsage, alloc.memberShare),
 	}
 }
 
-// AllocateEvenShare returns the lease of a member that has not heard from the replicated log for
-// HolderTimeout, or sees too few others: its even share, among as many holders as in its previous
-// lease.
+// AllocateEvenShare returns the lease of a member that has had no contact with the replicated log for
+// HolderTimeout, or that sees half of the fleet or less: its even share of each limit, with the holder
+// count of its previous lease.
 func AllocateEvenShare(
 	now time.Duration, cfg LeaseConfig, state State, ownUsage Usage, previous QuotaLease,
 ) QuotaLease {
 	count := max(previous.HolderCount, 1)
 	halfEpoch := cfg.halfEpoch(now)
-	allot := func(path string, kind int, limit int64) int64 {
+	memberShare := func(path string, kind int, limit int64) int64 {
 		rank := rotateRank(previous.HolderRank, path, kind, 0, count)
 		if kind == connectionsKind {
-			return shareOf(limit/thousand, rank, count)
+			return shareOf(limit/fixedPointScale, rank, count)
 		}
 		return cfg.evenTokens(limit, halfEpoch, rank, count)
 	}
@@ -74,11 +76,11 @@
 		HolderRank:  previous.HolderRank,
 		HolderCount: count,
 		EvenShares:  state.evenShares(count),
-		Allocated:   state.distribute(ownUsage, allot),
+		Allocated:   state.distribute(ownUsage, memberShare),
 	}
 }
 
-// latestReports returns each member's latest valid report.
+// latestReports returns the latest valid report of each member.
 func latestReports(reports []Usage) map[string]*Usage {
 	latest := map[string]*Usage{}
 	for i := range reports {
@@ -93,7 +95,7 @@
 	return latest
 }
 
-// evenShares returns an equal share, one of count, of each limit.
+// evenShares returns each limit divided by count.
 func (s State) evenShares(count int) map[string]Amounts {
 	shares := make(map[string]Amounts, len(s.Nodes)+len(s.Routes))
 	for path, node := range s.Nodes {
@@ -133,11 +135,12 @@
 
 func (a *allocator) epoch() int64 { return a.halfEpoch / 2 }
 
-// allot is the allotFunc of the member's lease.
-func (a *allocator) allot(path string, kind int, limit int64) int64 {
+// memberShare is the shareFunc for the member's lease.
+func (a *allocator) memberShare(path string, kind int, limit int64) int64 {
 	count := len(a.ranks)
-	if kind == connectionsKind { // not allocated anew: an established connection can't be called back
-		return shareOf(limit/thousand, rotateRank(a.connectionRanks[a.self], path, kind, 0, count), count)
+	if kind == connectionsKind { // not reallocated: an established connection can't be revoked
+		return shareOf(
+			limit/fixedPointScale, rotateRank(a.connectionRanks[a.self], path, kind, 0, count), count)
 	}
 	remaining := a.cfg.epochTokens(path, kind, limit, a.epoch())
 	if a.isSecondHalf() {
@@ -146,8 +149,8 @@
 	return shareOf(remaining, rotateRank(a.ranks[a.self], path, kind, a.halfEpoch, count), count)
 }
 
-// unspentTokens returns what is left of an epoch's tokens after the first half. A holder that has
-// not reported counts as having spent all that it had.
+// unspentTokens returns the tokens of an epoch that remain after its first half. A holder that has not
+// reported counts as having spent its whole share.
 func (a *allocator) unspentTokens(path string, kind int, total int64) int64 {
 	remaining := total - a.spentFirstHalf[path][kind]
 	for _, name := range a.unreported {
@@ -156,20 +159,21 @@
 	return max(remaining, 0)
 }
 
-// firstHalfShare returns what a holder had in the epoch's first half. It is called in the second.
+// firstHalfShare returns the share of a holder in the first half of the epoch. It must be called in
+// the second half.
 func (a *allocator) firstHalfShare(name, path string, kind int, total int64) int64 {
 	count := len(a.ranks)
 	return shareOf(total, rotateRank(a.firstHalfRanks[name], path, kind, a.halfEpoch-1, count), count)
 }
 
-// sumReported sums what the holders report to have spent in the first half.
+// sumReported sums the tokens that the holders report as spent in the first half.
 func (a *allocator) sumReported(state State, holders []string, latest map[string]*Usage) {
 	firstHalf, end := a.halfEpoch-1, a.cfg.halfStart(a.halfEpoch)
 	for _, name := range holders {
 		var spent map[string]Amounts
 		isReported := false
 		if usage := latest[name]; usage != nil {
-			spent, isReported = usage.spentIn(firstHalf, end)
+			spent, isReported = usage.spentInFirstHalf(firstHalf, end)
 		}
 		if !isReported {
 			a.unreported = append(a.unreported, name)
@@ -183,8 +187,8 @@
 	}
 }
 
-// addSpent adds what a holder reports to have spent on a path. It counts for no more than the holder
-// had, so that a false report takes nothing from others.
+// addSpent adds the tokens that a holder reports as spent on a path. They are limited to the holder's
+// share, so that a false report takes nothing from other holders.
 func (a *allocator) addSpent(name, path string, amounts Amounts, limits Limits) {
 	sum, thousandths := a.spentFirstHalf[path], limits.thousandths()
 	for kind, amount := range amounts.values() {
--- a/internal/fleet/account/allocate_test.go
+++ b/internal/fleet/account/allocate_test.go
@@ -9,11 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-const epochStart = 1_000_000 * time.Second // when some epoch begins
+const epochStart = 1_000_000 * time.Second // beginning of an epoch
 
 var testLeaseConfig = LeaseConfig{Epoch: time.Second, HolderTimeout: 30 * time.Second}
 
-// newOvercommittedState returns an account whose two teams may together use more than all of it.
+// newOvercommittedState returns a state with one account whose two teams may together hold more than
+// the account's limits.
 func newOvercommittedState(rate float64) State {
 	account := Limits{Connections: 20, SetupRate: rate, RetryRate: rate, ProbeRate: -1, Routes: 9, Teams: 9}
 	web := Limits{Connections: 20, SetupRate: rate, RetryRate: rate / 2, ProbeRate: -1, Routes: 9}
@@ -37,10 +38,10 @@
 	return names
 }
 
-// Whatever reports are lost, late or received twice, all members together use no more of any limit
-// within an epoch than the limit for an epoch, and one. Partitioned for longer than HolderTimeout,
-// the side that sees more than half of the fleet allocates the whole limit, and each member on
-// another side has its even share and one token a half epoch more at most.
+// All members together use at most the tokens of a limit for an epoch plus one, even if reports are
+// lost, late or duplicated. In a network partition longer than HolderTimeout, the side that sees more
+// than half of the fleet allocates the whole limit, and each member on another side uses at most its
+// even share plus one token per half epoch.
 func TestAllMembersTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
@@ -54,32 +55,33 @@
 			for _, path := range []string{"acme", "acme/web", "acme/shop"} {
 				limit := f.state.Nodes[path].Limits.SetupRate
 				if sum, bound := f.spentInEpoch(path), f.bound(limit); sum > bound {
-					t.Fatalf("%s: %v within an epoch, %v at most (limit %v, %d of %d separated)",
-						path, sum, bound, limit, f.separated, len(f.members))
+					t.Fatalf("%s: %v within an epoch, at most %v (limit %v, %d of %d without a majority)",
+						path, sum, bound, limit, f.withoutMajority, len(f.members))
 				}
 			}
 		}
 	})
 }
 
-// An unused share is lent to a sibling within the member, and is back in the next half.
+// A member lends the unused share of a team to a sibling team for half an epoch, and recalls it when
+// the team has demand again.
 func TestUnusedShareIsLentAndRecalled(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		web, shop    float64 // demands
-		withoutCheck bool    // of the recall
+		withoutCheck bool    // disables the check LendingRecall
 		wantWeb      float64
 		wantShop     float64
 	}{
 		{"web alone", 100, 0, false, 20, 0},
-		{"shop with a little", 100, 3, false, 17, 3},
-		{"both with more than there is", 100, 100, false, 10, 10},
-		{"web with a little", 4, 100, false, 6, 14},
-		{"both with a little", 2, 3, false, 17, 14},
+		{"little demand of shop", 100, 3, false, 17, 3},
+		{"excess demand of both", 100, 100, false, 10, 10},
+		{"little demand of web", 4, 100, false, 6, 14},
+		{"little demand of both", 2, 3, false, 17, 14},
 		{"no recall", 100, 100, true, 20, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newOvercommittedState(40) // 20 for each of two members in half an epoch
+			s := newOvercommittedState(40) // 20 tokens per half epoch for each of two members
 			s.DisabledChecks.LendingRecall = tt.withoutCheck
 			usage := Usage{
 				Member:     "m0",
@@ -100,35 +102,36 @@
 	}
 }
 
-// In an epoch's second half what is known to be left is allocated again. A false report adds no
-// more than its own share, and takes nothing from others.
+// Tokens that are known to be unspent are reallocated in the second half of an epoch. A false report
+// can add at most the share of its member, and takes nothing from other members.
 func TestReallocatesUnspentTokensDespiteFalseReports(t *testing.T) {
 	s, now := newOvercommittedState(40), epochStart+testLeaseConfig.Epoch/2
 	report := func(name string, spent float64) Usage {
 		return Usage{Member: name, ReportedAt: now, HalfEpoch: testLeaseConfig.halfEpoch(now),
 			UsedBefore: map[string]Amounts{"acme": {Setups: spent}}}
 	}
-	m0, m1, m2 := report("m0", 5), report("m1", 10), report("m2", 10) // 10 for each of four
+	m0, m1, m2 := report("m0", 5), report("m1", 10), report("m2", 10) // share of each of four members: 10
 	for _, tt := range []struct {
 		name    string
 		reports []Usage
-		want    float64 // of m0
+		want    float64 // tokens of m0
 	}{
 		{"all report", []Usage{m0, m1, m2, report("m3", 10)}, 2},
-		{"one is not received", []Usage{m0, m1, m2}, 2},
-		{"one reports to have spent nothing", []Usage{m0, m1, m2, report("m3", 0)}, 4},
-		{"one reports to have spent all there is", []Usage{m0, m1, m2, report("m3", 1e6)}, 2},
-		{"one reports what can't be", []Usage{m0, m1, m2, report("m3", -1e6)}, 2},
-		{"none is received", nil, 0},
+		{"one report is not received", []Usage{m0, m1, m2}, 2},
+		{"one reports that it has spent nothing", []Usage{m0, m1, m2, report("m3", 0)}, 4},
+		{"one reports an excessive amount", []Usage{m0, m1, m2, report("m3", 1e6)}, 2},
+		{"one reports a negative amount", []Usage{m0, m1, m2, report("m3", -1e6)}, 2},
+		{"no report is received", nil, 0},
 	} {
 		got := Allocate(now, testLeaseConfig, s, tt.reports, memberNames(4), "m0").Allocated["acme"].Setups
 		if math.Abs(got-tt.want) > 1 || tt.want == 0 && got != 0 {
-			t.Errorf("%s: %v more, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: %v tokens, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// The even shares of all are the limit, over any time, to the token.
+// The tokens of all members' even shares add up to the limit within one token, over any number of half
+// epochs.
 func TestEvenSharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "members")
@@ -144,7 +147,7 @@
 			}
 		}
 		if want := s.Nodes["acme"].Limits.SetupRate * float64(halves) / 2; math.Abs(sum-want) > 1.01 {
-			t.Fatalf("%v, want %v", sum, want)
+			t.Fatalf("even shares add up to %v, want %v", sum, want)
 		}
 	})
 }
--- a/internal/fleet/account/change.go
+++ b/internal/fleet/account/change.go
@@ -6,54 +6,57 @@
 	"maps"
 )
 
-// Change is an entry of the replicated log: all of it takes effect, or nothing.
+// Change is an entry of the replicated log. It is atomic: all of its operations take effect, or none.
 //
-// BaseVersion is the State's Version that its author saw. Nothing that the change touches may have
-// changed since: a node, route or grant that exists, or, for one that is new, that its parent was
-// created or has lost a child. So changes to different objects do not conflict, and an entry that
-// was accepted once can never be accepted again.
+// BaseVersion is the Version of the State that the author of the change has read. The change is
+// rejected if an existing node, route or grant that it affects has changed since. For a new object, it
+// is rejected if the nearest existing ancestor was created, or a child of it was removed, since; for a
+// new account, if an account was removed. So changes to different objects do not conflict, and an
+// accepted entry can't be accepted again.
 type Change struct {
 	BaseVersion      uint64 `json:"base"`
-	RequireUnchanged bool   `json:"whole,omitempty"` // nothing at all may have changed since BaseVersion
+	RequireUnchanged bool   `json:"whole,omitempty"` // reject if anything has changed since BaseVersion
 	Ops              []Op   `json:"ops"`
 }
 
-// OpKind is what an Op does. The words are in stored logs and stay as they are.
+// OpKind selects what an Op does. The values must not change, because stored logs contain them.
 type OpKind string
 
-// The operations, with the fields that each reads besides Kind and ExpectedVersion.
+// The kinds of operations. The comments list the fields that each reads besides Kind and
+// ExpectedVersion.
 const (
 	CreateAccount OpKind = "found"    // Path, Node
 	CreateTeam    OpKind = "team"     // Path, Node
-	SetLimits     OpKind = "limits"   // replaces limits, overcommit, scope and priority: Path, Node, ShrinkPolicy
-	DeleteNode    OpKind = "drop"     // of an account or team without teams and routes: Path
-	PutRoute      OpKind = "route"    // creates or replaces: Path (its owner), Route
+	SetLimits     OpKind = "limits"   // replaces a node except its versions: Path, Node, ShrinkPolicy
+	DeleteNode    OpKind = "drop"     // deletes an account or team without teams and routes: Path
+	PutRoute      OpKind = "route"    // creates or replaces a route: Path (its owner), Route
 	DeleteRoute   OpKind = "no-route" // Path (its owner), Name
 	CreateGrant   OpKind = "grant"    // Path, Grant
-	RevokeGrant   OpKind = "revoke"   // with all that were delegated from it: Path, Name (of the key)
+	RevokeGrant   OpKind = "revoke"   // revokes a grant and all delegated from it: Path, Name (of the key)
 )
 
-// How children shrink when their parent is cut below what they hold.
+// Policies for reducing the limits of children when the limits of their parent are reduced below the
+// sum of theirs.
 const (
-	ShrinkProportionally = "proportion" // all by one factor
-	ShrinkByPriority     = "priority"   // the lower keeps first, the later path is cut first
+	ShrinkProportionally = "proportion" // all children by the same factor
+	ShrinkByPriority     = "priority"   // the highest Priority value first, then the last path first
 )
 
 // Op is one operation of a change.
 type Op struct {
 	Kind            OpKind `json:"do"`
 	Path            string `json:"path"`
-	ExpectedVersion uint64 `json:"was,omitempty"` // Version of what it replaces; 0 is not compared
+	ExpectedVersion uint64 `json:"was,omitempty"` // Version of the object it replaces; 0 for any
 	Node            *Node  `json:"node,omitempty"`
-	ShrinkPolicy    string `json:"shrink,omitempty"` // empty: refuse
+	ShrinkPolicy    string `json:"shrink,omitempty"` // if empty, reject a reduction below the children's sum
 	Route           *Route `json:"route,omitempty"`
 	Name            string `json:"name,omitempty"`
 	Grant           *Grant `json:"grant,omitempty"`
 }
 
-// OpError says which operation of a change can't be accepted, and why.
+// OpError is the error for an operation of a change that is rejected.
 type OpError struct {
-	Number int // from 1
+	Number int // position in Change.Ops, starting at 1
 	Kind   OpKind
 	Path   string
 	Err    error
@@ -63,15 +66,16 @@
 	return fmt.Sprintf("operation %d, %.20q on %.80q: %v", e.Number, string(e.Kind), e.Path, e.Err)
 }
 
-// Unwrap returns why the operation can't be accepted.
+// Unwrap returns the reason for the rejection.
 func (e *OpError) Unwrap() error { return e.Err }
 
-// draft is a state under change: its maps are its own, what they hold is not.
+// draft is a copy of a state to which a change is being applied. It has its own maps, but their values
+// are shared with the original state and must be replaced rather than modified.
 type draft struct {
 	State
 	authorKey     string
-	changedTotals map[string]bool   // nodes whose children's sums may have changed
-	changedScopes map[string]bool   // nodes in whose subtrees scopes have to be checked
+	changedTotals map[string]bool   // nodes whose totals of children may have changed
+	changedScopes map[string]bool   // nodes whose subtrees need their scopes checked
 	changedRoutes map[string]*Route // routes that may overlap others
 }
 
@@ -88,8 +92,8 @@
 	return d
 }
 
-// Apply returns the state after a change by the holder of a key, or the state as it is and why
-// the change is not accepted: an *OpError where one operation is at fault.
+// Apply returns the state after a change by the holder of a key. If the change is rejected, Apply
+// returns the unchanged state and an error, which is an *OpError if a single operation is at fault.
 func (s State) Apply(change Change, authorKey string) (State, error) {
 	if err := s.checkBase(change); err != nil {
 		return s, err
@@ -114,7 +118,7 @@
 	return next.State, nil
 }
 
-// checkBase checks a change's size and the version that it is based on.
+// checkBase checks the size and the base version of a change.
 func (s State) checkBase(change Change) error {
 	switch {
 	case len(change.Ops) == 0 || len(change.Ops) > maxOps:
@@ -134,7 +138,8 @@
 	return maps.Clone(m)
 }
 
-// checkUnchanged compares what an operation touches with what its author saw.
+// checkUnchanged returns an error if the object of an operation has changed since the base version, or
+// if its version is not the expected one.
 func (s State) checkUnchanged(base uint64, op *Op) error {
 	version, ancestor := s.objectVersion(op)
 	if op.ExpectedVersion != 0 && op.ExpectedVersion != version {
@@ -154,8 +159,8 @@
 	return nil
 }
 
-// objectVersion returns the version of the node, route or grant that an operation is about, 0 if
-// there is none, and the path of the node that it is in.
+// objectVersion returns the version of the node, route or grant that an operation refers to, or 0 if
+// it does not exist, and the path of the node that contains it.
 func (s State) objectVersion(op *Op) (version uint64, container string) {
 	switch op.Kind {
 	case PutRoute, DeleteRoute:
@@ -207,7 +212,7 @@
 	return errors.New("no such operation")
 }
 
-// markChildRemoved notes that a child of a node was removed, or an account for the empty path.
+// markChildRemoved records that a child of a node was removed, or an account if the path is empty.
 func (d *draft) markChildRemoved(path string) {
 	if path == "" {
 		d.AccountRemovedVersion = d.Version
--- a/internal/fleet/account/distribute.go
+++ b/internal/fleet/account/distribute.go
@@ -17,31 +17,32 @@
 	return Limits{}, false
 }
 
-// An allotFunc returns a member's part of one limit, given in thousandths, of a path.
-type allotFunc func(path string, kind int, limit int64) int64
+// A shareFunc returns a member's share of one limit of a path. The limit is given in thousandths.
+type shareFunc func(path string, kind int, limit int64) int64
 
-// amountValues are amounts of all kinds in whole tokens; negative for no bound.
+// amountValues holds the amounts of all kinds in whole tokens; a negative value is unlimited.
 type amountValues [amountKinds]int64
 
-// distribution takes a member's parts of the limits down the tree.
+// distribution distributes a member's shares of the limits from each node to its children.
 type distribution struct {
-	state     State
-	allot     allotFunc
-	demand    map[string]Amounts
-	children  map[string][]string // paths by their parent's
-	allocated map[string]amountValues
+	state       State
+	memberShare shareFunc
+	demand      map[string]Amounts
+	children    map[string][]string // paths of the children by path of the parent
+	allocated   map[string]amountValues
 }
 
-// distribute returns what a member may use of each path. A child is allocated what max-min
-// fairness among its siblings gives it of its parent's allocation, for what this member demands,
-// and all that none of them demands, which is open to each: the parent's count bounds it.
-func (s State) distribute(ownUsage Usage, allot allotFunc) map[string]Amounts {
+// distribute returns the amounts that a member may use on each path. A child is allocated its max-min
+// fair share of the parent's allocation for this member's demand, plus the whole remainder that no
+// sibling demands. Every sibling is allocated the same remainder; the usage counted on the parent
+// limits their sum.
+func (s State) distribute(ownUsage Usage, memberShare shareFunc) map[string]Amounts {
 	d := &distribution{
-		state:     s,
-		allot:     allot,
-		demand:    ownUsage.Demand,
-		children:  s.childPaths(),
-		allocated: make(map[string]amountValues, len(s.Nodes)+len(s.Routes)),
+		state:       s,
+		memberShare: memberShare,
+		demand:      ownUsage.Demand,
+		children:    s.childPaths(),
+		allocated:   make(map[string]amountValues, len(s.Nodes)+len(s.Routes)),
 	}
 	if s.DisabledChecks.LendingRecall {
 		d.demand = ownUsage.Used
@@ -58,7 +59,8 @@
 	return result
 }
 
-// childPaths returns the paths of teams and routes by their parent's, accounts' by the empty path.
+// childPaths returns the paths of teams and routes by the path of their parent, and those of accounts
+// by the empty path.
 func (s State) childPaths() map[string][]string {
 	children := map[string][]string{}
 	for path := range s.Nodes {
@@ -70,12 +72,12 @@
 	return children
 }
 
-// descend allocates to the children of a path, and to theirs.
+// descend allocates the available amounts to the children of a path, and recursively to theirs.
 func (d *distribution) descend(parentPath string, available amountValues) {
 	paths := d.children[parentPath]
-	slices.Sort(paths) // the order decides who has less of what can't be divided
+	slices.Sort(paths) // the order decides which child has less if an amount is not divisible
 	for kind := range available {
-		d.fillKind(paths, kind, available[kind])
+		d.allocateKind(paths, kind, available[kind])
 	}
 	for _, path := range paths {
 		if isNode := !strings.Contains(path, ":"); isNode {
@@ -84,14 +86,14 @@
 	}
 }
 
-// fillKind allocates one kind of their parent's allocation among siblings.
-func (d *distribution) fillKind(paths []string, kind int, available int64) {
+// allocateKind allocates the parent's amount of one kind among siblings.
+func (d *distribution) allocateKind(paths []string, kind int, available int64) {
 	caps, demands := make([]int64, len(paths)), make([]int64, len(paths))
 	for i, path := range paths {
 		limits, _ := d.state.limitsAt(path)
 		caps[i] = available
 		if limit := limits.thousandths()[kind]; limit >= 0 {
-			caps[i] = d.allot(path, kind, limit)
+			caps[i] = d.memberShare(path, kind, limit)
 		}
 		demands[i] = ceilTokens(d.demand[path].values()[kind])
 	}
@@ -103,9 +105,10 @@
 	}
 }
 
-// fillMaxMin serves the demands of siblings, none above its cap, from what is available: the least
-// first, each with an equal part of what remains (progressive filling). What remains in the end is
-// added to each. It leaves the allocations in caps. A negative amount is no bound.
+// fillMaxMin allocates the available amount to siblings by progressive filling: in ascending order of
+// demand, each receives its demand, up to its cap and to an equal part of the remaining amount. The
+// final remainder is then added to every sibling, up to its cap. The allocations are stored in caps.
+// If the available amount is negative, it is unlimited and the caps are unchanged.
 func fillMaxMin(available int64, caps, demands []int64) {
 	if available < 0 {
 		return
--- a/internal/fleet/account/fleet_test.go
+++ b/internal/fleet/account/fleet_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// testMember spends what it may, as a node does: every level needs capacity.
+// testMember is a member that spends tokens as a node does: a session needs capacity on every level.
 type testMember struct {
 	Usage
-	side     int // of a network partition
+	side     int // side of a network partition
 	lease    QuotaLease
 	received map[string]Usage
 }
 
-// spend uses up to so many set-ups on some paths together.
+// spend uses up to the wanted number of set-ups, each of which counts on all of the paths.
 func (m *testMember) spend(paths []string, wanted int) {
 	for range wanted {
 		for _, path := range paths {
@@ -31,13 +31,13 @@
 	}
 }
 
-// testFleet is members that may be partitioned.
+// testFleet is a fleet that a network partition may split.
 type testFleet struct {
-	cfg       LeaseConfig
-	state     State
-	names     []string
-	members   []testMember
-	separated int // members that don't see more than half of the fleet
+	cfg             LeaseConfig
+	state           State
+	names           []string
+	members         []testMember
+	withoutMajority int // number of members that don't see more than half of the fleet
 }
 
 func drawFleet(t *rapid.T) *testFleet {
@@ -60,15 +60,15 @@
 		f.members[i].side = rapid.IntRange(0, 2).Draw(t, "side")
 		sizes[f.members[i].side]++
 	}
-	f.separated = count - max(sizes[0], sizes[1], sizes[2])
-	if 2*(count-f.separated) <= count {
-		f.separated = count
+	f.withoutMajority = count - max(sizes[0], sizes[1], sizes[2])
+	if 2*(count-f.withoutMajority) <= count {
+		f.withoutMajority = count
 	}
 	return f
 }
 
-// exchangeReports has each member report at a half's end, before any of them spends in the next.
-// Reports to others of its side may be lost.
+// exchangeReports makes each member report at the end of a half epoch, before any member spends in the
+// next. Reports to other members of the same side may be lost; those to other sides always are.
 func (f *testFleet) exchangeReports(t *rapid.T, now time.Duration) {
 	for i := range f.members {
 		m := &f.members[i]
@@ -78,7 +78,9 @@
 			HalfEpoch:  f.cfg.halfEpoch(now),
 			UsedBefore: m.Used,
 			Used:       map[string]Amounts{},
-			Demand:     map[string]Amounts{"acme/web": {Setups: float64(rapid.IntRange(0, 20).Draw(t, "demand"))}},
+			Demand: map[string]Amounts{
+				"acme/web": {Setups: float64(rapid.IntRange(0, 20).Draw(t, "demand"))},
+			},
 		}
 		for j := range f.members {
 			if j == i || m.side == f.members[j].side && rapid.IntRange(0, 2).Draw(t, "received") > 0 {
@@ -88,7 +90,7 @@
 	}
 }
 
-// spend has each member take its lease, with each report received twice, and use some of it.
+// spend makes each member compute its lease, with each report received twice, and use some of it.
 func (f *testFleet) spend(t *rapid.T, now time.Duration) {
 	sessions := [][]string{{"acme", "acme/web", "acme/web:r"}, {"acme", "acme/web"}, {"acme", "acme/shop"}}
 	for i := range f.members {
@@ -110,7 +112,7 @@
 	}
 }
 
-// spentInEpoch is what all members have spent in the last two halves.
+// spentInEpoch returns the set-ups of all members on a path in the last two half epochs.
 func (f *testFleet) spentInEpoch(path string) (sum float64) {
 	for _, m := range f.members {
 		sum += m.Used[path].Setups + m.UsedBefore[path].Setups
@@ -118,14 +120,14 @@
 	return sum
 }
 
-// bound is what all members may spend of a limit in an epoch.
+// bound returns the maximum number of tokens that all members may spend of a limit in an epoch.
 func (f *testFleet) bound(limit float64) float64 {
-	count, separated := float64(len(f.members)), float64(f.separated)
+	count, withoutMajority := float64(len(f.members)), float64(f.withoutMajority)
 	switch {
-	case separated == 0:
+	case withoutMajority == 0:
 		return math.Floor(limit) + 1
-	case separated < count:
-		return math.Floor(limit) + 1 + limit*separated/count + 2*separated
+	case withoutMajority < count:
+		return math.Floor(limit) + 1 + limit*withoutMajority/count + 2*withoutMajority
 	}
-	return limit*(count-separated)/count + limit*separated/count + 2*separated
+	return limit*(count-withoutMajority)/count + limit*withoutMajority/count + 2*withoutMajority
 }
--- a/internal/fleet/account/grants.go
+++ b/internal/fleet/account/grants.go
@@ -7,20 +7,21 @@
 	"slices"
 )
 
-// permissions are all that a grant may hold.
-var permissions = []string{PermissionRoutes, PermissionLimits, PermissionTeams, PermissionGrants, PermissionContracts}
+// permissions lists all permissions that a grant may hold.
+var permissions = []string{
+	PermissionRoutes, PermissionLimits, PermissionTeams, PermissionGrants, PermissionContracts}
 
-// authorize returns why a key may not act on a path. The empty key is nobody's: a member of the
-// fleet has no say about accounts.
+// authorize returns an error if a key does not have a permission on a path. The empty key, which stands
+// for a member of the fleet, never has one.
 func (s State) authorize(key, permission, path string) error {
 	hasPermission := func(grant *Grant) bool { return slices.Contains(grant.Permissions, permission) }
 	_, err := s.findGrant(key, path, hasPermission, permission)
 	return err
 }
 
-// findGrant returns the first suitable one of a key's grants, by path, that covers a path; nil for
-// the root, who needs none. The empty path, above all accounts, is the root's alone. The error
-// names the permission.
+// findGrant returns the suitable grant of a key that covers a path; if there are several, the one with
+// the least path. It returns nil for the root key, which needs no grant. Only the root key may act on
+// the empty path, which is the parent of all accounts. The error contains the permission.
 func (s State) findGrant(key, path string, isSuitable func(*Grant) bool, permission string) (*Grant, error) {
 	if s.isRootKey(key) {
 		return nil, nil
@@ -47,7 +48,7 @@
 	return path != "" && isInSubtree(path, grant.Path) || s.DisabledChecks.GrantSubtree
 }
 
-// createGrant delegates to a key what the author has, on the author's subtree or a part of it.
+// createGrant delegates permissions of the author to a key, on the author's subtree or a part of it.
 func (d *draft) createGrant(op *Op) error {
 	if op.Grant == nil {
 		return errors.New("grant: missing")
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// checkNewGrant checks a grant against the tree, whoever creates it.
+// checkNewGrant checks a new grant against the tree, regardless of its author.
 func (d *draft) checkNewGrant(op *Op, grant *Grant) error {
 	switch {
 	case grant.Path != op.Path:
@@ -105,7 +106,8 @@
 	}
 	for i, permission := range g.Permissions {
 		if !slices.Contains(permissions, permission) || slices.Contains(g.Permissions[:i], permission) {
-			return fmt.Errorf("act %.20q: want some of routes, limits, teams, grants and contracts, each once", permission)
+			return fmt.Errorf(
+				"act %.20q: want some of routes, limits, teams, grants and contracts, each once", permission)
 		}
 	}
 	if len(g.Permissions) == 0 {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// canDelegate tells whether the holder of a grant may create another by it.
+// canDelegate reports whether the holder of grant g may create another grant from it.
 func (g *Grant) canDelegate(other *Grant) bool {
 	if !slices.Contains(g.Permissions, PermissionGrants) || g.DelegationDepth <= other.DelegationDepth {
 		return false
@@ -127,9 +129,9 @@
 	return true
 }
 
-// revokeGrant removes a grant and all that were delegated from it, directly or not. Its own key
-// may do so, the keys above it in its line of delegation, and those with the permission for grants
-// on a path above.
+// revokeGrant removes a grant and all grants delegated from it, directly or indirectly. The key of the
+// grant, the keys above it in its delegation chain, and the keys with PermissionGrants on the parent
+// path may revoke it.
 func (d *draft) revokeGrant(op *Op) error {
 	id := op.Name + "@" + op.Path
 	grant := d.Grants[id]
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// withDescendants returns the IDs of a grant and of all that were delegated from it.
+// withDescendants returns the IDs of a grant and of all grants delegated from it.
 func (d *draft) withDescendants(id string) map[string]bool {
 	found := map[string]bool{id: true}
 	for more := !d.DisabledChecks.RevokeDescendants; more; {
@@ -162,8 +164,8 @@
 	return found
 }
 
-// isGrantor tells whether the author created a grant, or one above it in its line of delegation.
-// Grants are never changed, only revoked with their descendants, so that a line has an end.
+// isGrantor reports whether the author created a grant or one above it in its delegation chain. Chains
+// are finite, because grants are never changed, only revoked together with their descendants.
 func (d *draft) isGrantor(grant *Grant) bool {
 	for range maxDelegationDepth + 1 {
 		grant = d.Grants[grant.ParentID]
--- a/internal/fleet/account/invariants_test.go
+++ b/internal/fleet/account/invariants_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// After whatever changes, by whom and in whatever order, limits hold, no grant's line of delegation
-// is broken, no routes overlap; a change is accepted completely or not at all, once, and nothing
-// outside the subtrees of its author's grants is changed by it. The state survives JSON.
+// After any sequence of changes by any authors, limits hold, delegation chains are intact and routes do
+// not overlap. Each change is accepted completely or not at all, and only once, and affects nothing
+// outside the subtrees of its author's grants. The state survives encoding as JSON and decoding.
 func TestAnySequenceOfChangesKeepsTheTreeValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestState(t)
@@ -28,9 +28,10 @@
 	})
 }
 
-// drawOp draws an operation, with fields that its kind does not read too.
+// drawOp draws an operation. It also sets fields that the operation's kind does not read.
 func drawOp(t *rapid.T, s State) Op {
-	allPermissions := []string{PermissionRoutes, PermissionLimits, PermissionTeams, PermissionGrants, PermissionContracts}
+	allPermissions := []string{
+		PermissionRoutes, PermissionLimits, PermissionTeams, PermissionGrants, PermissionContracts}
 	kinds := []OpKind{CreateAccount, CreateTeam, SetLimits, SetLimits, DeleteNode,
 		PutRoute, PutRoute, DeleteRoute, CreateGrant, CreateGrant, RevokeGrant}
 	key, x := byte(rapid.IntRange(1, 5).Draw(t, "key")), rapid.Float64Range(0, 7).Draw(t, "x")
@@ -53,7 +54,8 @@
 	if zone := rapid.SampledFrom([]string{"", "", "", "a", "b"}).Draw(t, "zone"); zone != "" {
 		op.Node.Scope.Zones = []string{zone}
 	}
-	op.ShrinkPolicy = rapid.SampledFrom([]string{"", ShrinkProportionally, ShrinkByPriority}).Draw(t, "shrink")
+	op.ShrinkPolicy = rapid.SampledFrom(
+		[]string{"", ShrinkProportionally, ShrinkByPriority}).Draw(t, "shrink")
 	op.Name = testKey(key)
 	if kind == RevokeGrant && len(s.Grants) > 0 {
 		op.Name, op.Path, _ = strings.Cut(rapid.SampledFrom(sortedKeys(s.Grants)).Draw(t, "grant"), "@")
@@ -70,12 +72,13 @@
 	return op
 }
 
-// applyAndCheck returns the state after a change, or the same if the change is rejected.
+// applyAndCheck applies a change and checks the result. It returns the new state, or s if the change is
+// rejected.
 func applyAndCheck(t *rapid.T, s State, change Change, author string) State {
 	before, _ := json.Marshal(s)
 	after, err := s.Apply(change, author)
 	if again, _ := json.Marshal(s); !bytes.Equal(before, again) {
-		t.Fatal("a state was changed in place")
+		t.Fatal("Apply modified its receiver")
 	}
 	if err != nil {
 		return s
@@ -84,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if _, err := after.Apply(change, author); err == nil {
-		t.Fatal("accepted twice")
+		t.Fatal("a change was accepted twice")
 	}
 	checkOnlyReachableChanged(t, s, after, author)
 	raw, _ := json.Marshal(after)
@@ -95,12 +98,13 @@
 	return stored
 }
 
-// checkOnlyReachableChanged looks for limits that are changed where the author has no grant.
+// checkOnlyReachableChanged fails if limits have changed on a path that no grant of the author covers.
 func checkOnlyReachableChanged(t *rapid.T, before, after State, author string) {
 	isReachable := func(path string) bool {
-		return before.isRootKey(author) || slices.ContainsFunc(sortedKeys(before.Grants), func(id string) bool {
-			return before.Grants[id].Key == author && isInSubtree(path, before.Grants[id].Path)
-		})
+		return before.isRootKey(author) ||
+			slices.ContainsFunc(sortedKeys(before.Grants), func(id string) bool {
+				return before.Grants[id].Key == author && isInSubtree(path, before.Grants[id].Path)
+			})
 	}
 	for _, path := range append(limitPaths(before), limitPaths(after)...) {
 		limitsBefore, _ := before.limitsAt(path)
--- a/internal/fleet/account/lease.go
+++ b/internal/fleet/account/lease.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// Bounds of LeaseConfig.Epoch, which is a whole number of epochSteps.
+// Bounds of LeaseConfig.Epoch, which must be a multiple of epochStep.
 const (
 	minEpoch  = 10 * time.Millisecond
 	maxEpoch  = time.Minute
-	epochStep = 2 * time.Millisecond // halves are whole milliseconds
+	epochStep = 2 * time.Millisecond // makes half an epoch a whole number of milliseconds
 )
 
-// million is what a token is divided into where fractions of tokens are carried.
-const million = 1e6
+// millionthsPerToken is the number of millionths in one token. Fractions of tokens that are carried to
+// a later half epoch or epoch are computed in millionths.
+const millionthsPerToken = 1e6
 
-// LeaseConfig is how limits are allocated. All members have it alike.
+// LeaseConfig configures the allocation of limits. All members must have the same LeaseConfig.
 type LeaseConfig struct {
-	// Epoch is the time that a limit's tokens are computed for. A lease is for half of it.
+	// Epoch is the time for which the tokens of a limit are computed. A lease is valid for half an
+	// epoch.
 	Epoch time.Duration
-	// HolderTimeout is how long a member that has gone silent counts as a lease holder, and how
-	// long one that has lost the replicated log keeps its part.
+	// HolderTimeout is how long a failed member still counts as a lease holder, and how long a
+	// member that has lost contact with the replicated log keeps its share.
 	HolderTimeout time.Duration
-	// FleetSize is how many members there are when all are well. A member that sees half of them
-	// or fewer as holders keeps to its even share of FleetSize, so that in a network partition one
-	// side at most allocates the whole limits. 0 switches this rule off.
+	// FleetSize is the number of members when all are alive. A member that sees at most half of
+	// them as holders uses its even share of FleetSize, so that in a network partition at most one
+	// side allocates the whole limits. 0 disables this rule.
 	FleetSize int
 }
 
-// InvalidField names the first field that has an invalid value, as the operator's file calls it.
+// InvalidField returns the name of the first field with an invalid value, as it is spelled in the
+// operator's file, or "" if all values are valid.
 func (c LeaseConfig) InvalidField() string {
 	switch {
 	case c.Epoch < minEpoch || c.Epoch > maxEpoch || c.Epoch%epochStep != 0:
@@ -45,44 +48,45 @@
 	return time.Duration(halfEpoch) * (c.Epoch / 2)
 }
 
-// QuotaLease is what a member may use within one half epoch. Every session counts on its route and
-// on each level above, and needs capacity on all of them: siblings' leases may add up to more than
-// their parent's.
+// QuotaLease contains the amounts that a member may use within one half epoch. Every session counts on
+// its route and on each level above, and needs capacity on all of them, because the amounts of siblings
+// may add up to more than the amount of their parent.
 type QuotaLease struct {
 	HalfEpoch int64         `json:"half"`
-	ExpiresAt time.Duration `json:"until"` // Unix time of the half's end
-	// Allocated are whole tokens of this half, and how many connections may be established;
-	// negative for no bound.
+	ExpiresAt time.Duration `json:"until"` // Unix time of the end of the half epoch
+	// Allocated contains, by path, the whole tokens of this half epoch and the number of connections
+	// that may be established; a negative value is unlimited.
 	Allocated map[string]Amounts `json:"paths"`
-	// EvenShares are this member's even shares of the limits: tokens a second, and connections.
+	// EvenShares contains, by path, this member's even shares of the limits: tokens per second, and
+	// connections.
 	EvenShares  map[string]Amounts `json:"even"`
-	HolderRank  int                `json:"place"` // of this member among all, for the fractions of even shares
-	HolderCount int                `json:"of"`
+	HolderRank  int                `json:"place"` // this member's rank, for remainders of even shares
+	HolderCount int                `json:"of"`    // number of lease holders
 }
 
-// epochTokens returns a limit's tokens for an epoch. A fraction of a token becomes one more in as
-// many epochs as it says.
+// epochTokens returns the tokens of a limit for an epoch. The fractional part of a token is the
+// fraction of epochs in which the result is rounded up; a hash selects them.
 func (c LeaseConfig) epochTokens(path string, kind int, limit, epoch int64) int64 {
 	millionths := mulDiv(limit, c.Epoch.Milliseconds(), 1)
-	tokens := millionths / million
-	if int64(hash(path, uint64(kind), uint64(epoch))%million) < millionths%million {
+	tokens := millionths / millionthsPerToken
+	if int64(hash(path, uint64(kind), uint64(epoch))%millionthsPerToken) < millionths%millionthsPerToken {
 		tokens++
 	}
 	return tokens
 }
 
-// evenTokens returns the tokens for one half of the holder of some rank among count, by its even
-// share alone. All holders together have no more than half of the limit's for an epoch, and one.
+// evenTokens returns the tokens of the even share of one holder, given by its rank among count, for one
+// half epoch. The tokens of all holders add up to at most half of the tokens of an epoch plus one.
 func (c LeaseConfig) evenTokens(limit, halfEpoch int64, rank, count int) int64 {
 	millionths := mulDiv(limit, c.Epoch.Milliseconds()/2, 1)
-	divisor := int64(count) * million
-	remainder, half, phase := millionths%divisor, halfEpoch%divisor, int64(rank)*million
+	divisor := int64(count) * millionthsPerToken
+	remainder, half, phase := millionths%divisor, halfEpoch%divisor, int64(rank)*millionthsPerToken
 	carried := (remainder*(half+1)+phase)/divisor - (remainder*half+phase)/divisor
 	return millionths/divisor + carried
 }
 
-// shareOf returns the part of some tokens that the holder of some rank among count has. More
-// tokens never mean fewer for any rank.
+// shareOf returns the share of one holder, given by its rank among count, of a number of tokens. A
+// holder's share never decreases when tokens grows.
 func shareOf(tokens int64, rank, count int) int64 {
 	share := tokens / int64(count)
 	if int64(rank) < tokens%int64(count) {
--- a/internal/fleet/account/limits.go
+++ b/internal/fleet/account/limits.go
@@ -6,8 +6,8 @@
 	"math/bits"
 )
 
-// The kinds of limits. The first amountKinds are amounts that are used at run time, which
-// routes are limited in too; the others are counts of children.
+// The kinds of limits. The first amountKinds kinds limit amounts that are used at run time, and apply
+// to routes too. The other kinds limit the number of routes and teams below a node.
 const (
 	connectionsKind = iota
 	setupsKind
@@ -20,28 +20,29 @@
 	amountKinds = routesKind
 )
 
-// limitNames are what errors call the kinds, as the JSON keys of Limits do.
+// limitNames are the names of the kinds in errors. They equal the JSON keys of Limits.
 var limitNames = [limitKinds]string{"open", "rate", "retries", "probes", "routes", "teams"}
 
-// Sums are computed in whole thousandths, so that every member, on whatever machine, comes to the
-// same result.
-const thousand = 1000
+// fixedPointScale is the number of thousandths in one unit. Sums are computed in whole thousandths so
+// that all members compute the same result on any machine.
+const fixedPointScale = 1000
 
-// maxLimit is the greatest limit of any kind, and the greatest amount that a member can report.
+// maxLimit is the maximum limit of any kind, and the maximum amount in a member's report.
 const maxLimit = 1e9
 
-// limitValues are limits of all kinds in thousandths; negative for no bound.
+// limitValues holds the limits of all kinds in thousandths; a negative value is unlimited.
 type limitValues [limitKinds]int64
 
 func (l Limits) values() [limitKinds]float64 {
-	return [limitKinds]float64{l.Connections, l.SetupRate, l.RetryRate, l.ProbeRate, float64(l.Routes), float64(l.Teams)}
+	return [limitKinds]float64{
+		l.Connections, l.SetupRate, l.RetryRate, l.ProbeRate, float64(l.Routes), float64(l.Teams)}
 }
 
 func (l Limits) thousandths() (thousandths limitValues) {
 	for kind, value := range l.values() {
 		thousandths[kind] = -1
 		if value >= 0 {
-			thousandths[kind] = int64(math.Round(value * thousand))
+			thousandths[kind] = int64(math.Round(value * fixedPointScale))
 		}
 	}
 	return thousandths
@@ -52,7 +53,7 @@
 	for kind := range thousandths {
 		values[kind] = -1
 		if thousandths[kind] >= 0 {
-			values[kind] = float64(thousandths[kind]) / thousand
+			values[kind] = float64(thousandths[kind]) / fixedPointScale
 		}
 	}
 	return Limits{
@@ -67,27 +68,28 @@
 
 func (l Limits) validate() error {
 	for kind, value := range l.values() {
-		if !(value <= maxLimit && value >= -maxLimit) { // not a number either
-			return fmt.Errorf("%s %v: want at most %v, or a negative figure for no bound", limitNames[kind], value, maxLimit)
+		if !(value <= maxLimit && value >= -maxLimit) { // also true for NaN
+			return fmt.Errorf("%s %v: want at most %v, or a negative figure for no bound",
+				limitNames[kind], value, maxLimit)
 		}
 	}
 	return nil
 }
 
-// childAllowance returns what the children of a node may hold together: its limits times its
-// overcommit.
+// childAllowance returns the maximum sum of the limits of a node's children: the limits of the node
+// times its overcommit.
 func (n *Node) childAllowance() limitValues {
 	allowance := n.Limits.thousandths()
-	overcommit := int64(math.Round(max(n.Overcommit, 1) * thousand))
+	overcommit := int64(math.Round(max(n.Overcommit, 1) * fixedPointScale))
 	for kind := range allowance {
 		if allowance[kind] >= 0 {
-			allowance[kind] = mulDiv(allowance[kind], overcommit, thousand)
+			allowance[kind] = mulDiv(allowance[kind], overcommit, fixedPointScale)
 		}
 	}
 	return allowance
 }
 
-// mulDiv returns a * b / c, rounded down; the quotient must fit.
+// mulDiv returns a * b / c for non-negative values, rounded down. The quotient must fit into an int64.
 func mulDiv(a, b, c int64) int64 {
 	hi, lo := bits.Mul64(uint64(a), uint64(b))
 	quotient, _ := bits.Div64(hi, lo, uint64(c))
--- a/internal/fleet/account/match.go
+++ b/internal/fleet/account/match.go
@@ -5,17 +5,19 @@
 	"fmt"
 )
 
-// The greatest lengths of what a match names.
+// Maximum lengths of the fields of a match.
 const (
 	maxTenantBytes = 255
 	maxGroupBytes  = 1024
 )
 
-// Specificity is how specific a match is: among the routes that match, the one of the greatest
-// specificity counts. What a match names decides, in this order: class, tenant, one group, a range
-// of the group's hash, returning, retry. Two of one specificity name the same fields.
+// Specificity returns the precedence of a match: among the routes that match a session, the one with
+// the highest specificity is used. The fields that are set determine the specificity, in this order of
+// weight: class, tenant, group, range of the group's hash, returning, retry. Two matches with the same
+// specificity have the same fields set.
 func (m *Match) Specificity() int {
-	fields := [...]bool{m.Class != "", m.Tenant != "", m.Group != "", m.hasRange(), m.Returning != nil, m.Retry != nil}
+	fields := [...]bool{
+		m.Class != "", m.Tenant != "", m.Group != "", m.hasRange(), m.Returning != nil, m.Retry != nil}
 	specificity := 0
 	for i, isNamed := range fields {
 		if isNamed {
@@ -27,7 +29,7 @@
 
 func (m *Match) hasRange() bool { return m.HashFrom != 0 || m.HashTo != 0 }
 
-// matchKey is all that a match names but the range.
+// matchKey contains all fields of a match except the range.
 type matchKey struct {
 	specificity          int
 	class, tenant, group string
@@ -45,7 +47,7 @@
 	}
 }
 
-// Overlaps tells whether two matches are equally specific and some session matches both.
+// Overlaps reports whether two matches have the same specificity and a session can match both.
 func (m *Match) Overlaps(other *Match) bool {
 	return m.key() == other.key() && (!m.hasRange() || m.HashFrom < other.HashTo && other.HashFrom < m.HashTo)
 }
--- a/internal/fleet/account/nodes.go
+++ b/internal/fleet/account/nodes.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// maxOvercommit is how many times its limits a node's children may hold at most.
+// maxOvercommit is the maximum ratio of the sum of the children's limits to the limit of their parent.
 const maxOvercommit = 100
 
-// createNode adds an account or a team.
+// createNode adds an account or a team. It requires PermissionTeams on the parent, and PermissionLimits
+// too unless all limits are 0.
 func (d *draft) createNode(op *Op) error {
 	parentPath := parent(op.Path)
 	switch {
@@ -33,8 +34,8 @@
 	return d.putNode(op, &Node{CreatedVersion: d.Version})
 }
 
-// setLimits replaces limits, overcommit, scope and priority. It takes the permission on the parent,
-// so that nobody raises its own limits.
+// setLimits replaces limits, overcommit, scope and priority. It requires PermissionLimits on the
+// parent, so that the holder of a grant can't raise the limits of the node that the grant is on.
 func (d *draft) setLimits(op *Op) error {
 	old := d.Nodes[op.Path]
 	if old == nil {
@@ -47,7 +48,8 @@
 		return err
 	}
 	if op.ShrinkPolicy != ShrinkProportionally && op.ShrinkPolicy != ShrinkByPriority {
-		return fmt.Errorf("shrink %.20q: want %q or %q", op.ShrinkPolicy, ShrinkProportionally, ShrinkByPriority)
+		return fmt.Errorf("shrink %.20q: want %q or %q",
+			op.ShrinkPolicy, ShrinkProportionally, ShrinkByPriority)
 	}
 	if err := d.narrowScopes(op.Path); err != nil {
 		return err
@@ -63,15 +65,16 @@
 	if err := n.validate(); err != nil {
 		return err
 	}
-	n.CreatedVersion, n.ChildRemovedVersion, n.Version = old.CreatedVersion, old.ChildRemovedVersion, d.Version
+	n.CreatedVersion, n.ChildRemovedVersion, n.Version =
+		old.CreatedVersion, old.ChildRemovedVersion, d.Version
 	d.Nodes[op.Path] = &n
 	d.markTotalsChanged(op.Path)
 	d.changedScopes[op.Path] = true
 	return nil
 }
 
-// markTotalsChanged notes that a node's own limits, and with them the sums of all its ancestors,
-// may have changed.
+// markTotalsChanged records that the limits of a node, and so the totals of all its ancestors, may
+// have changed.
 func (d *draft) markTotalsChanged(path string) {
 	for ; path != ""; path = parent(path) {
 		d.changedTotals[path] = true
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// deleteNode removes a node without teams and routes, and its grants.
+// deleteNode removes a node that has no teams and routes, together with its grants.
 func (d *draft) deleteNode(path string) error {
 	if d.Nodes[path] == nil {
 		return errors.New("no such account or team")
@@ -112,7 +115,7 @@
 		}
 	}
 	delete(d.Nodes, path)
-	for id, grant := range d.Grants { // what was delegated from them is on the same path
+	for id, grant := range d.Grants { // grants delegated from them have the same path
 		if grant.Path == path {
 			delete(d.Grants, id)
 		}
--- a/internal/fleet/account/paths.go
+++ b/internal/fleet/account/paths.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Paths are names with '/' between them, an account's first. A route's is its owner's, a colon
-// and its name.
+// A path consists of names separated by '/', starting with the name of an account. The path of a route
+// is the path of its owner, a colon and its name.
 
-// isInSubtree tells whether a path is top or below it.
+// isInSubtree reports whether a path is top or below it.
 func isInSubtree(path, top string) bool {
 	return path == top || strings.HasPrefix(path, top) && len(path) > len(top) && path[len(top)] == '/'
 }
 
-// parent returns the path of the parent; an account has none.
+// parent returns the path of a node's parent, or the empty path for an account.
 func parent(path string) string {
 	return path[:max(strings.LastIndexByte(path, '/'), 0)]
 }
 
-// sortedKeys returns a map's keys in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// checkPath returns why a path is not a valid path of a node.
+// checkPath returns an error if a path is not a valid path of a node.
 func checkPath(path string) error {
 	names := strings.Split(path, "/")
 	if len(names) > maxDepth {
@@ -49,7 +49,8 @@
 	}
 	for _, name := range names {
 		if !isValidName(name) {
-			return fmt.Errorf("%.80q: want names of a-z, 0-9, '-', '_' and '.', %d letters at most, with '/' between",
+			return fmt.Errorf(
+				"%.80q: want names of a-z, 0-9, '-', '_' and '.', %d letters at most, with '/' between",
 				path, maxNameBytes)
 		}
 	}
--- a/internal/fleet/account/routes.go
+++ b/internal/fleet/account/routes.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// putRoute creates a route or replaces the one of its name.
+// putRoute creates a route, or replaces the route of the same name and owner.
 func (d *draft) putRoute(op *Op) error {
 	if op.Route == nil {
 		return errors.New("route: missing")
@@ -18,7 +18,8 @@
 	case route.Owner != "" && route.Owner != op.Path:
 		return fmt.Errorf("owner %.80q: the operation is on %q", route.Owner, op.Path)
 	case !isValidName(route.Name):
-		return fmt.Errorf("route name %.40q: want a-z, 0-9, '-', '_' and '.', %d letters at most", route.Name, maxNameBytes)
+		return fmt.Errorf("route name %.40q: want a-z, 0-9, '-', '_' and '.', %d letters at most",
+			route.Name, maxNameBytes)
 	}
 	if err := d.authorize(d.authorKey, PermissionRoutes, op.Path); err != nil {
 		return err
@@ -56,19 +57,19 @@
 	for _, share := range shares {
 		isPercent := share.Percent >= 0 && share.Percent <= 100
 		if share.Zone == "" || len(share.Zone) > maxLabelBytes || seen[share.Zone] || !isPercent {
-			return fmt.Errorf("part %.64q, %v %%: want zones once each, 0 to 100 %%", share.Zone, share.Percent)
+			return fmt.Errorf("part %.64q, %v %%: want zones once each, 0 to 100 %%",
+				share.Zone, share.Percent)
 		}
 		seen[share.Zone] = true
-		sum += int64(math.Round(share.Percent * thousand))
+		sum += int64(math.Round(share.Percent * fixedPointScale))
 	}
-	if len(shares) > maxZoneShares || len(shares) > 0 && sum != 100*thousand {
+	if len(shares) > maxZoneShares || len(shares) > 0 && sum != 100*fixedPointScale {
 		return fmt.Errorf("%d parts of %v %% in all: want at most %d, 100 %% in all",
-			len(shares), float64(sum)/thousand, maxZoneShares)
+			len(shares), float64(sum)/fixedPointScale, maxZoneShares)
 	}
 	return nil
 }
 
-// deleteRoute removes a route.
 func (d *draft) deleteRoute(op *Op) error {
 	path := op.Path + ":" + op.Name
 	if d.Routes[path] == nil {
@@ -83,17 +84,19 @@
 	return nil
 }
 
-// checkOverlap rejects a route that matches what another of the same specificity matches, whoever
-// owns that one: which of the two counts would be chance.
+// checkOverlap returns an error if a route overlaps another route of the same specificity, regardless
+// of that route's owner, because the choice between the two would be arbitrary.
 func (s State) checkOverlap(route *Route) error {
-	tied := ""
+	conflicting := ""
 	for path, other := range s.Routes {
-		if path != route.Path() && other.Match.Overlaps(&route.Match) && (tied == "" || path < tied) {
-			tied = path
+		if path != route.Path() && other.Match.Overlaps(&route.Match) &&
+			(conflicting == "" || path < conflicting) {
+			conflicting = path
 		}
 	}
-	if tied != "" {
-		return fmt.Errorf("route %q: ties with route %q, which takes the same and is as specific", route.Path(), tied)
+	if conflicting != "" {
+		return fmt.Errorf("route %q: ties with route %q, which takes the same and is as specific",
+			route.Path(), conflicting)
 	}
 	return nil
 }
--- a/internal/fleet/account/scopes.go
+++ b/internal/fleet/account/scopes.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The lists of a scope, in the order of Scope.lists.
+// Indexes of the lists of a scope in the result of Scope.lists.
 const (
 	zonesList = iota
 	tenantsList
@@ -24,8 +24,8 @@
 	return Scope{Zones: lists[zonesList], Tenants: lists[tenantsList], Classes: lists[classesList]}
 }
 
-// effectiveScope returns the scope that counts on a path: each list is its own, or that of the
-// nearest ancestor that has one.
+// effectiveScope returns the scope that applies to a path: each list is the node's own, or that of the
+// nearest ancestor with a non-empty one.
 func (s State) effectiveScope(path string) Scope {
 	var lists [scopeLists][]string
 	for ; path != ""; path = parent(path) {
@@ -42,8 +42,8 @@
 	return scopeOf(lists)
 }
 
-// checkScopes checks the selected nodes, and their routes, against what the level above may use
-// and match.
+// checkScopes checks the scopes of the selected nodes against the scope of the level above, and the
+// routes of these nodes against the scope of their owner.
 func (s State) checkScopes(selected func(path string) bool) error {
 	for _, path := range sortedKeys(s.Nodes) {
 		if !selected(path) {
@@ -70,19 +70,21 @@
 	for i, list := range s.Nodes[path].Scope.lists() {
 		for _, name := range list {
 			if len(allowed[i]) > 0 && !slices.Contains(allowed[i], name) {
-				return fmt.Errorf("%q: %.64q is none of the %s that %q has", path, name, scopeNames[i], parent(path))
+				return fmt.Errorf("%q: %.64q is none of the %s that %q has",
+					path, name, scopeNames[i], parent(path))
 			}
 		}
 	}
 	return nil
 }
 
-// checkRouteScope checks a route against what its owner may use and match.
+// checkRouteScope checks the zones, the tenant and the class of a route against its owner's scope.
 func (s State) checkRouteScope(route *Route) error {
 	scope := s.effectiveScope(route.Owner)
 	for _, share := range route.ZoneShares {
 		if len(scope.Zones) > 0 && !slices.Contains(scope.Zones, share.Zone) {
-			return fmt.Errorf("route %q: zone %.64q is none that %q may use", route.Path(), share.Zone, route.Owner)
+			return fmt.Errorf("route %q: zone %.64q is none that %q may use",
+				route.Path(), share.Zone, route.Owner)
 		}
 	}
 	if err := checkMatchScope(route, "tenant", route.Match.Tenant, scope.Tenants); err != nil {
@@ -99,22 +101,23 @@
 		route.Path(), field, value, route.Owner, strings.Join(allowed, ", "))
 }
 
-// checkScopeList checks one list of a node's scope by itself.
-func checkScopeList(what string, list []string) error {
+// checkScopeList checks the length and the names of one list of a node's scope.
+func checkScopeList(listName string, list []string) error {
 	if len(list) > maxScopeNames {
-		return fmt.Errorf("%s: %d names, at most %d are kept", what, len(list), maxScopeNames)
+		return fmt.Errorf("%s: %d names, at most %d are kept", listName, len(list), maxScopeNames)
 	}
 	for i, name := range list {
 		if name == "" || len(name) > maxLabelBytes || slices.Contains(list[:i], name) {
-			return fmt.Errorf("%s: %.80q: empty, longer than 64 bytes or twice there", what, name)
+			return fmt.Errorf("%s: %.80q: empty, longer than 64 bytes or twice there", listName, name)
 		}
 	}
 	return nil
 }
 
-// narrowScopes removes from the scopes below a node what the node may no longer use.
+// narrowScopes removes, from the scopes of all nodes below a node, the names that are no longer in the
+// scope of the level above. It returns an error if a list would become empty.
 func (d *draft) narrowScopes(top string) error {
-	for _, path := range sortedKeys(d.Nodes) { // a parent before its teams
+	for _, path := range sortedKeys(d.Nodes) { // parents before their teams
 		if path == top || !isInSubtree(path, top) {
 			continue
 		}
--- a/internal/fleet/account/shrink.go
+++ b/internal/fleet/account/shrink.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// child is a team or route that holds a part of its parent's limits.
+// child is a team or route whose limits count towards those of its parent.
 type child struct {
 	path     string
 	isTeam   bool
@@ -14,7 +14,7 @@
 	limits   limitValues
 }
 
-// children returns those of a node by path, teams first.
+// children returns the children of a node: the teams sorted by path, then the routes sorted by path.
 func (s State) children(path string) []child {
 	var all []child
 	for name, node := range s.Nodes {
@@ -44,8 +44,8 @@
 	return 1
 }
 
-// shrinkChildren cuts a node's children to what it may hold, and theirs where that cuts them. A
-// team without a bound counts as holding all of its parent's limit.
+// shrinkChildren reduces the limits of a node's children to the node's allowance, and recursively those
+// of their children. An unlimited team counts with the whole limit of its parent.
 func (d *draft) shrinkChildren(path, policy string) error {
 	node := d.Nodes[path]
 	children := d.children(path)
@@ -55,11 +55,11 @@
 		if allowance < 0 {
 			continue
 		}
-		allowance -= countedChildren(children, kind) * thousand
+		allowance -= countChildren(children, kind) * fixedPointScale
 		if allowance < 0 {
 			return fmt.Errorf("%q: has more %s than it would be allowed", path, limitNames[kind])
 		}
-		shrinkKind(holdersOf(children, kind), kind, limit[kind], allowance, policy)
+		shrinkKind(childrenWithLimit(children, kind), kind, limit[kind], allowance, policy)
 	}
 	for i := range children {
 		if children[i].limits == before[i].limits {
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// countedChildren returns how many of the children count towards a kind themselves: routes or
-// teams.
-func countedChildren(children []child, kind int) int64 {
+// countChildren returns the number of routes if the kind is routesKind, of teams if it is teamsKind,
+// and 0 for the other kinds.
+func countChildren(children []child, kind int) int64 {
 	count := int64(0)
 	for i := range children {
 		if kind == routesKind && !children[i].isTeam || kind == teamsKind && children[i].isTeam {
@@ -84,53 +84,54 @@
 	return count
 }
 
-// holdersOf returns the children that hold a part of one kind of limit. A route without a bound
-// holds none.
-func holdersOf(children []child, kind int) []*child {
-	var holders []*child
+// childrenWithLimit returns the children whose limits of one kind count towards the parent's: all teams,
+// and for amounts also the routes that are not unlimited.
+func childrenWithLimit(children []child, kind int) []*child {
+	var limited []*child
 	for i := range children {
 		candidate := &children[i]
 		if candidate.isTeam || kind < amountKinds && candidate.limits[kind] >= 0 {
-			holders = append(holders, candidate)
+			limited = append(limited, candidate)
 		}
 	}
-	return holders
+	return limited
 }
 
-// shrinkKind cuts one kind of some children's limits to what they may hold together.
-func shrinkKind(holders []*child, kind int, limit, allowance int64, policy string) {
+// shrinkKind reduces the children's limits of one kind until their sum does not exceed the allowance.
+// An unlimited child is first given the parent's limit.
+func shrinkKind(children []*child, kind int, limit, allowance int64, policy string) {
 	sum := int64(0)
-	for _, holder := range holders {
-		if holder.limits[kind] < 0 {
-			holder.limits[kind] = limit
+	for _, sibling := range children {
+		if sibling.limits[kind] < 0 {
+			sibling.limits[kind] = limit
 		}
-		sum += holder.limits[kind]
+		sum += sibling.limits[kind]
 	}
 	if sum <= allowance {
 		return
 	}
 	if policy != ShrinkByPriority {
-		for _, holder := range holders {
-			holder.limits[kind] = wholeCount(kind, mulDiv(holder.limits[kind], allowance, sum))
+		for _, sibling := range children {
+			sibling.limits[kind] = wholeCount(kind, mulDiv(sibling.limits[kind], allowance, sum))
 		}
 		return
 	}
-	slices.SortStableFunc(holders, func(a, b *child) int { return cmp.Compare(a.priority, b.priority) })
-	for _, holder := range holders {
-		holder.limits[kind] = wholeCount(kind, min(holder.limits[kind], allowance))
-		allowance -= holder.limits[kind]
+	slices.SortStableFunc(children, func(a, b *child) int { return cmp.Compare(a.priority, b.priority) })
+	for _, sibling := range children {
+		sibling.limits[kind] = wholeCount(kind, min(sibling.limits[kind], allowance))
+		allowance -= sibling.limits[kind]
 	}
 }
 
-// wholeCount rounds thousandths down to a whole number where the kind is a count.
+// wholeCount rounds thousandths down to a whole number if the kind is a count of routes or teams.
 func wholeCount(kind int, thousandths int64) int64 {
 	if kind >= amountKinds {
-		thousandths -= thousandths % thousand
+		thousandths -= thousandths % fixedPointScale
 	}
 	return thousandths
 }
 
-// replaceLimits puts a child's new limits into the draft, and shrinks its own children.
+// replaceLimits stores the reduced limits of a child in the draft, and shrinks the child's own children.
 func (d *draft) replaceLimits(changed *child, policy string) error {
 	limits := limitsFromThousandths(changed.limits)
 	if !changed.isTeam {
--- a/internal/fleet/account/totals.go
+++ b/internal/fleet/account/totals.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// subtreeTotals is what is below a node.
+// subtreeTotals contains the totals of the teams and routes below a node.
 type subtreeTotals struct {
-	sum          limitValues        // of its teams' and routes' limits, and the counts of its own routes and teams
-	unbounded    [limitKinds]string // the first team without a bound
-	subtreeCount limitValues        // routes and teams in the whole subtree
+	sum          limitValues        // limits of the direct children, and the numbers of routes and teams
+	unbounded    [limitKinds]string // least path of the unlimited direct teams
+	subtreeCount limitValues        // number of routes and teams in the whole subtree
 }
 
-// addChild adds a direct child. kindCount is how many kinds of limits the child has, countKind the
-// kind that counts children of its sort.
+// addChild adds a direct child. kindCount is the number of kinds of limits that the child has, and
+// countKind is the kind that limits the number of such children: routesKind or teamsKind.
 func (t *subtreeTotals) addChild(name string, limits Limits, kindCount, countKind int) {
 	thousandths := limits.thousandths()
 	for kind := range kindCount {
@@ -20,25 +20,25 @@
 			t.unbounded[kind] = name
 		}
 	}
-	t.sum[countKind] += thousand
+	t.sum[countKind] += fixedPointScale
 }
 
-// totalsByPath are the totals of some nodes.
+// totalsByPath contains the totals of nodes by path.
 type totalsByPath map[string]*subtreeTotals
 
-// add adds a team or route to the totals of its parent, and counts it on all levels above.
+// add adds a team or route to the totals of its parent, and to the subtree counts of all ancestors.
 func (t totalsByPath) add(parentPath, name string, limits Limits, kindCount, countKind int) {
 	if totals := t[parentPath]; totals != nil {
 		totals.addChild(name, limits, kindCount, countKind)
 	}
 	for path := parentPath; path != ""; path = parent(path) {
 		if totals := t[path]; totals != nil {
-			totals.subtreeCount[countKind] += thousand
+			totals.subtreeCount[countKind] += fixedPointScale
 		}
 	}
 }
 
-// subtreeTotals sums what is below each of some nodes, in one pass.
+// subtreeTotals computes the totals of the given nodes in one pass over the tree.
 func (s State) subtreeTotals(nodes map[string]bool) totalsByPath {
 	all := make(totalsByPath, len(nodes))
 	for path := range nodes {
@@ -53,8 +53,8 @@
 	return all
 }
 
-// checkLimits checks that what is below each of some nodes is no more than the node may hold. A
-// route without a bound has its owner's; a team must have one wherever its parent has.
+// checkLimits checks that the totals of each of the given nodes do not exceed the limits of the node.
+// An unlimited route is subject to its owner's limits. A team must be limited wherever its parent is.
 func (s State) checkLimits(nodes map[string]bool) error {
 	all := s.subtreeTotals(nodes)
 	for _, path := range sortedKeys(nodes) {
@@ -73,16 +73,17 @@
 	limit, allowed := n.Limits.thousandths(), n.childAllowance()
 	for kind, name := range limitNames {
 		switch {
-		case allowed[kind] < 0: // no bound
+		case allowed[kind] < 0: // unlimited
 		case totals.unbounded[kind] != "":
 			return fmt.Errorf("%q has no bound of %s, %q above it has", totals.unbounded[kind], name, path)
 		case totals.sum[kind] > allowed[kind]:
-			return fmt.Errorf("%q: its teams and routes would hold %s %v, at most %v are allowed (limit %v, overcommit %v)",
-				path, name, float64(totals.sum[kind])/thousand, float64(allowed[kind])/thousand,
-				float64(limit[kind])/thousand, max(n.Overcommit, 1))
+			return fmt.Errorf(
+				"%q: its teams and routes would hold %s %v, at most %v are allowed (limit %v, overcommit %v)",
+				path, name, float64(totals.sum[kind])/fixedPointScale, float64(allowed[kind])/fixedPointScale,
+				float64(limit[kind])/fixedPointScale, max(n.Overcommit, 1))
 		case totals.subtreeCount[kind] > limit[kind]:
 			return fmt.Errorf("%q: %d %s in all, at most %d are allowed",
-				path, totals.subtreeCount[kind]/thousand, name, limit[kind]/thousand)
+				path, totals.subtreeCount[kind]/fixedPointScale, name, limit[kind]/fixedPointScale)
 		}
 	}
 	return nil
--- a/internal/fleet/account/usage.go
+++ b/internal/fleet/account/usage.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Amounts are the four things that limits bound at run time.
+// Amounts contains a value for each kind of limit that applies at run time.
 type Amounts struct {
 	Connections float64 `json:"open,omitempty"`
 	Setups      float64 `json:"rate,omitempty"`
@@ -26,15 +26,15 @@
 	}
 }
 
-// Usage is one member's report of what it uses, by the path of account, team or route. What a
-// route uses counts for its owner and for all levels above it too.
+// Usage is one member's report of its usage, by the path of an account, team or route. The usage of a
+// route also counts for its owner and all levels above.
 type Usage struct {
 	Member     string             `json:"member"`
 	ReportedAt time.Duration      `json:"at"`              // Unix time
-	HalfEpoch  int64              `json:"half"`            // half epoch that Used is about
-	Used       map[string]Amounts `json:"used,omitempty"`  // tokens of that half; connections now
-	UsedBefore map[string]Amounts `json:"prior,omitempty"` // tokens of the half before
-	// Demand is what it would have used in the half before, with what was rejected: tokens, and
+	HalfEpoch  int64              `json:"half"`            // half epoch that Used refers to
+	Used       map[string]Amounts `json:"used,omitempty"`  // tokens used in HalfEpoch; current connections
+	UsedBefore map[string]Amounts `json:"prior,omitempty"` // tokens used in the preceding half epoch
+	// Demand is the usage of the preceding half epoch including what was rejected: tokens, and the
 	// connections that would be established.
 	Demand map[string]Amounts `json:"wanted,omitempty"`
 }
@@ -44,7 +44,8 @@
 	maxMembers    = 1024
 )
 
-// IsValid tells whether a report can be true: it comes from outside. One that can't is ignored.
+// IsValid reports whether all values of a report are possible. Reports come from other processes and
+// are not trusted; an invalid one is ignored.
 func (u *Usage) IsValid() bool {
 	if u.Member == "" || len(u.Member) > maxLabelBytes {
 		return false
@@ -58,7 +59,7 @@
 	}
 	for _, amounts := range byPath {
 		for _, value := range amounts.values() {
-			if !(value >= 0 && value <= maxLimit) { // not a number either
+			if !(value >= 0 && value <= maxLimit) { // also true for NaN
 				return false
 			}
 		}
@@ -66,8 +67,9 @@
 	return true
 }
 
-// spentIn returns what a member reports, after a first half's end, to have spent in that half.
-func (u *Usage) spentIn(firstHalf int64, end time.Duration) (map[string]Amounts, bool) {
+// spentInFirstHalf returns the amounts that a member spent in the half epoch firstHalf, and whether the
+// report covers that half completely: it was made after its end.
+func (u *Usage) spentInFirstHalf(firstHalf int64, end time.Duration) (map[string]Amounts, bool) {
 	switch {
 	case u.HalfEpoch == firstHalf && u.ReportedAt >= end:
 		return u.Used, true
@@ -77,7 +79,7 @@
 	return nil, false
 }
 
-// isNewerThan orders the reports of one member.
+// isNewerThan reports whether u is newer than another report of the same member.
 func (u *Usage) isNewerThan(other *Usage) bool {
 	if u.HalfEpoch != other.HalfEpoch {
 		return u.HalfEpoch > other.HalfEpoch
@@ -85,5 +87,5 @@
 	return u.ReportedAt > other.ReportedAt
 }
 
-// ceilTokens returns the whole tokens that cover an amount.
+// ceilTokens rounds an amount up to whole tokens.
 func ceilTokens(amount float64) int64 { return int64(math.Ceil(amount)) }
--- a/internal/fleet/account/validate.go
+++ b/internal/fleet/account/validate.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// validateChanged checks all that a change may have broken.
+// validateChanged checks the constraints that a change may have violated: limits, overlapping routes
+// and scopes.
 func (d *draft) validateChanged() error {
 	if !d.DisabledChecks.ParentLimit {
 		if err := d.checkLimits(d.changedTotals); err != nil {
@@ -29,8 +30,9 @@
 	return false
 }
 
-// Validate returns what of the whole tree is not as it must be, though every change was checked:
-// limits, scopes, overlapping routes, and that each grant's line of delegation reaches the root.
+// Validate checks the whole tree and returns the first violation. It repeats the checks of each change,
+// limits, scopes and overlapping routes, and verifies that each grant's delegation chain reaches the
+// root.
 func (s State) Validate() error {
 	allPaths := make(map[string]bool, len(s.Nodes))
 	for path, node := range s.Nodes {
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// isDelegatedFrom tells whether a grant can have come from another, which may be nil.
+// isDelegatedFrom reports whether a grant is a valid delegation from parentGrant, which may be nil.
 func (g *Grant) isDelegatedFrom(parentGrant *Grant) bool {
 	return parentGrant != nil &&
 		parentGrant.Key == g.GrantedBy &&
