--- a/internal/fleet/gossip/config.go
+++ b/internal/fleet/gossip/config.go
@@ -11,18 +11,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Config is how a member meets the others.
+// Config configures the transport of a member, and how it joins the other members.
 type Config struct {
 	BindAddress      string        // IP:PORT to listen on, TCP and UDP
-	AdvertiseAddress string        // IP:PORT where the others reach it; empty for BindAddress
-	Peers            []string      // advertised addresses of some other members
-	KeyFile          string        // the encryption key, the same at all members; see ReadKey
-	Unencrypted      bool          // without a key, for a mutation only
-	Interval         time.Duration // between two rounds of gossip
-	LogOutput        io.Writer     // of memberlist's own log
+	AdvertiseAddress string        // IP:PORT at which other members reach this one; BindAddress if empty
+	Peers            []string      // advertised addresses of other members, to join through
+	KeyFile          string        // file with the encryption key, which all members share; see ReadKey
+	Unencrypted      bool          // gossip without a key; set only by a mutation test
+	Interval         time.Duration // between two gossip rounds
+	LogOutput        io.Writer     // receives memberlist's own log
 }
 
-// ReadKey reads the encryption key from a file of 32, 48 or 64 hexadecimal digits.
+// ReadKey reads the encryption key from a file that holds 32, 48 or 64 hexadecimal digits.
 func ReadKey(path string) ([]byte, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(raw)))
 	if err != nil || memberlist.ValidateKey(key) != nil {
-		return nil, fmt.Errorf("%s: 32, 48 or 64 hexadecimal digits are wanted", path)
+		return nil, fmt.Errorf("%s: want a key of 32, 48 or 64 hexadecimal digits", path)
 	}
 	return key, nil
 }
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -10,7 +10,7 @@
 	"coralrelay/internal/fleet/quota"
 )
 
-// broadcast is a queued message; a later one of the same name replaces it.
+// broadcast is a queued message. A later broadcast with the same name replaces it.
 type broadcast struct {
 	name    string
 	payload []byte
@@ -31,7 +31,7 @@
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
 
-// delegate receives memberlist's calls.
+// delegate implements memberlist.Delegate and memberlist.EventDelegate for a Member.
 type delegate struct {
 	member       *Member
 	meta         []byte
@@ -46,8 +46,9 @@
 	}
 	d := &delegate{member: member, meta: meta}
 	d.queue.RetransmitMult = retransmitMult
-	// Not memberlist's own count: this is called under the queue's lock, while memberlist calls
-	// NotifyJoin, which may queue, under the lock of that count.
+	// memberlist's own member count can't be used here: the queue calls NumNodes with its lock held,
+	// and memberlist calls NotifyJoin, which may queue a broadcast, with the lock of that count held.
+	// The two locks would be taken in opposite orders, which can deadlock.
 	d.queue.NumNodes = func() int { return int(max(d.aliveMembers.Load(), 1)) }
 	return d, nil
 }
@@ -57,7 +58,7 @@
 
 // NotifyMsg implements memberlist.Delegate.
 func (d *delegate) NotifyMsg(raw []byte) {
-	if !d.member.deliver(raw) {
+	if !d.member.deliverDirect(raw) {
 		d.member.Receive(raw)
 	}
 }
--- a/internal/fleet/gossip/direct.go
+++ b/internal/fleet/gossip/direct.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// directMessagePrefix begins a message to one member. Reports are JSON and begin otherwise.
+	// directMessagePrefix is the first byte of a message to one member. Broadcasts are JSON objects,
+	// which never start with it.
 	directMessagePrefix = 's'
-	// maxDirectMessageBytes is the largest direct message, the prefix left out: a sample of
-	// 4,096 cells takes less.
+	// maxDirectMessageBytes limits a direct message, without its prefix. A latency sample of 4,096
+	// cells is smaller.
 	maxDirectMessageBytes = 512 << 10
 )
 
-// errNotRunning is returned for a message before Run has created the cluster.
+// errNotRunning is returned by Send if Run has not created the cluster yet.
 var errNotRunning = errors.New("fleet: gossip is not running yet")
 
-// Send sends a message to one member, over a connection of its own, encrypted as all gossip. It
-// may take some seconds if that member can't be reached.
+// Send sends a message to one member over a separate connection, encrypted like all gossip. It may
+// block for some seconds if the member is unreachable.
 func (m *Member) Send(name string, message []byte) error {
 	m.mu.Lock()
 	cluster := m.cluster
@@ -28,7 +29,7 @@
 		return errNotRunning
 	}
 	if len(message) > maxDirectMessageBytes {
-		return fmt.Errorf("fleet: message to member %s has %d bytes, more than %d",
+		return fmt.Errorf("fleet: send to member %s: message of %d bytes exceeds the limit of %d",
 			name, len(message), maxDirectMessageBytes)
 	}
 	for _, node := range cluster.Members() {
@@ -40,11 +41,11 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("fleet: member %s is not alive", name)
+	return fmt.Errorf("fleet: send to member %s: no alive member has this name", name)
 }
 
-// deliver passes a direct message to OnMessage, and is false if it is not one.
-func (m *Member) deliver(raw []byte) bool {
+// deliverDirect passes a direct message to OnMessage. It returns false if raw is not a direct message.
+func (m *Member) deliverDirect(raw []byte) bool {
 	if len(raw) == 0 || raw[0] != directMessagePrefix {
 		return false
 	}
--- a/internal/fleet/gossip/doc.go
+++ b/internal/fleet/gossip/doc.go
@@ -1,11 +1,11 @@
-// Package gossip is the fleet agent's membership and gossip: it knows which nodes there are
-// (SWIM, by hashicorp/memberlist), spreads what each node has spent of quotas and observed of
-// zones, and gives the node beside it a quota lease, as package quota decides.
+// Package gossip implements the fleet agent's membership and gossip. It tracks the members of the
+// fleet (SWIM, by hashicorp/memberlist), spreads each node's quota usage and zone observations, and
+// issues quota leases to the local node, as package quota computes them.
 //
-// Member.Run owns memberlist's goroutines and ends them before it returns, which it does when
-// its context ends; memberlist calls Member from them. All other methods of Member may be called
-// from any goroutine and, Send apart, do not block on a socket.
+// Member.Run owns memberlist's goroutines, on which memberlist calls the Member. Run returns when
+// its context ends, after these goroutines have ended. All other methods of Member are safe for
+// concurrent use and, except Send, do not block on a socket.
 //
-// Run's errors name the configuration key that they are of. Messages of other members that are
-// malformed are logged and dropped; those that are invalid or not new are dropped.
+// An error of Run starts with the configuration key that it concerns, if any. A malformed message
+// of another member is logged and dropped; an invalid or outdated one is dropped silently.
 package gossip
--- a/internal/fleet/gossip/lease.go
+++ b/internal/fleet/gossip/lease.go
@@ -8,14 +8,13 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// leaseDuration is how long a lease limits the node after it has last heard of its agent.
+// leaseDuration is how long a lease stays in force at the node after the agent's last response.
 const leaseDuration = time.Second
 
-// unlimitedTokens in a zone's quota means that there is no limit.
+// unlimitedTokens in a zone's quota means that the zone has no limit.
 const unlimitedTokens = -1
 
-// ReportQuotaUsage takes what the node has spent, reports it to the other members and returns
-// the node's next lease.
+// ReportQuotaUsage reports the node's usage to the other members and returns the node's next lease.
 func (m *Member) ReportQuotaUsage(usage balance.QuotaUsage) balance.QuotaLease {
 	now := m.clock()
 	m.mu.Lock()
@@ -30,7 +29,7 @@
 		RetryBudget:    m.quotaState.RetryBudget(now),
 		ShedFraction:   m.decision.ShedFraction,
 	}
-	// A new process of the node gets no tokens in a period in which the old one had them.
+	// A restarted node gets no tokens in this period: the process before it was allocated them already.
 	restarted := m.period == period && usage.Period < period
 	for _, limit := range m.decision.ZoneLimits {
 		lease.Zones = append(lease.Zones, m.zoneQuota(now, limit, restarted))
@@ -51,7 +50,7 @@
 	return lease
 }
 
-// zoneQuota is the node's quota of a zone: no tokens if the node has restarted.
+// zoneQuota returns the node's quota for a zone. A restarted node gets no tokens of a rate limit.
 func (m *Member) zoneQuota(now time.Duration, limit zonestatus.TrafficLimit, restarted bool) balance.ZoneQuota {
 	zone := balance.ZoneQuota{Zone: limit.Zone, Share: limit.Share, Tokens: unlimitedTokens}
 	switch {
@@ -63,7 +62,7 @@
 	return zone
 }
 
-// publishReport makes this member's next report and queues it for the others.
+// publishReport builds this member's next report, merges it locally and queues it for broadcast.
 func (m *Member) publishReport(now time.Duration, usage balance.QuotaUsage) {
 	m.startPeriod(usage.Period)
 	m.seq++
@@ -105,7 +104,8 @@
 	m.enqueue(m.name, own.encode())
 }
 
-// startPeriod makes the tokens spent so far those of the prior period, if a new one has begun.
+// startPeriod starts a new period if period is later than the current one. The tokens spent so far
+// become those of the prior period, or are dropped if there was another period in between.
 func (m *Member) startPeriod(period int64) {
 	if period <= m.period {
 		return
@@ -118,7 +118,8 @@
 	m.spentInPeriod = map[quota.Endpoint]int{}
 }
 
-// endpointUsage is what the node has used of a server. Tokens are only for servers that warm up.
+// endpointUsage returns the node's usage of a server. It includes spent tokens only while the server
+// is warming up, because only such servers are limited by tokens.
 func (m *Member) endpointUsage(endpoint quota.Endpoint, server balance.ServerUsage) quota.Usage {
 	usage := quota.Usage{
 		Endpoint:       endpoint,
--- a/internal/fleet/gossip/member.go
+++ b/internal/fleet/gossip/member.go
@@ -11,48 +11,49 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// receivedHashSlots is how many hashes of received messages are kept.
+// receivedHashSlots is the number of hashes of received messages that are kept to detect duplicates.
 const receivedHashSlots = 4096
 
-// Member is this agent as a member of the fleet. The exported fields are set before Run.
+// Member is the local agent as a member of the fleet. The exported fields must be set before Run.
 type Member struct {
-	Zone          string // of the node; empty for none
-	ReplogAddress string // where the others reach its replicated log; empty if it serves none
-	// OnMessage takes what others Send to this member; nil for nobody. It must return at once
-	// and must not keep the message.
+	Zone          string // zone of the node; empty if it has none
+	ReplogAddress string // address at which this member serves the replicated log; empty if it does not
+	// OnMessage receives the messages that other members Send to this one; they are dropped if it is
+	// nil. It must not block and must not retain the message.
 	OnMessage func(message []byte)
 
 	name        string
 	incarnation int64
 	cfg         quota.Config
-	clock       func() time.Duration // Unix time
+	clock       func() time.Duration // returns Unix time
 
 	mu                 sync.Mutex
 	quotaState         *quota.State
-	metadata           map[string]nodeMetadata // of the others, by name
-	reports            map[string]report       // the last of each member
-	usages             map[string]Usage        // the last of each member
-	encodedUsages      map[string][]byte       // usages as they were sent
+	metadata           map[string]nodeMetadata // of the other members, by name
+	reports            map[string]report       // latest report of each member
+	usages             map[string]Usage        // latest usage of each member
+	encodedUsages      map[string][]byte       // usages as sent, by member
 	decision           Decision
-	seq                uint64                 // of this member's last report
-	period             int64                  // of the node's last quota usage
-	spentInPeriod      map[quota.Endpoint]int // tokens
-	spentInPriorPeriod map[quota.Endpoint]int // tokens
+	seq                uint64                 // sequence number of this member's last report
+	period             int64                  // latest period in the node's quota usage
+	spentInPeriod      map[quota.Endpoint]int // tokens spent in period
+	spentInPriorPeriod map[quota.Endpoint]int // tokens spent in the period before it
 	hashSeed           maphash.Seed
-	receivedHashes     [receivedHashSlots]uint64 // of messages that were accepted, each at its slot
+	receivedHashes     [receivedHashSlots]uint64 // of accepted messages, by hash modulo length
 	enqueue            func(name string, payload []byte)
-	cluster            *memberlist.Memberlist // nil before Run has created it
+	cluster            *memberlist.Memberlist // nil until Run has created it
 }
 
-// Decision is what the replicated log, or this member by itself, has decided for its node.
+// Decision is what the node's leases follow. It comes from the replicated log or, while this member is
+// isolated from it, from the member itself.
 type Decision struct {
-	LogIndex     uint64                    // of the replicated log as this member serves it
-	ZoneLimits   []zonestatus.TrafficLimit // zones without one are not limited
-	ShedFraction float64                   // of first attempts, rejected at once
+	LogIndex     uint64                    // last index of the replicated log that this member has applied
+	ZoneLimits   []zonestatus.TrafficLimit // zones not listed are not limited
+	ShedFraction float64                   // share of first attempts to reject for lack of capacity
 }
 
-// NewMember returns a member that knows no other. The clock is Unix time; the quota guards that
-// are disabled are for mutations.
+// NewMember returns a member of a fleet without other members. The clock returns Unix time. A mutation
+// test disables guards of package quota; otherwise disabledGuards is the zero value.
 func NewMember(name string, cfg quota.Config, disabledGuards quota.Guards, clock func() time.Duration) *Member {
 	m := &Member{
 		name:               name,
@@ -73,7 +74,7 @@
 	return m
 }
 
-// SetDecision sets what the node's leases say from now on.
+// SetDecision sets the decision that the node's leases follow from now on.
 func (m *Member) SetDecision(decision Decision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/gossip/membership.go
+++ b/internal/fleet/gossip/membership.go
@@ -11,32 +11,33 @@
 	"coralrelay/internal/fleet/quota"
 )
 
-// maxReplogAddressBytes is the longest address of a replicated log that is accepted.
+// maxReplogAddressBytes limits the length of another member's replicated log address.
 const maxReplogAddressBytes = 64
 
-// nodeMetadata is what membership itself carries of a member, before its first report.
-// memberlist limits it to 512 bytes.
+// nodeMetadata is the metadata that memberlist distributes for a member, available before the member's
+// first report. memberlist limits it to 512 bytes.
 type nodeMetadata struct {
 	Zone          string `json:"zone,omitempty"`
 	ReplogAddress string `json:"record,omitempty"`
 }
 
-// isValid is whether metadata of another member can be right.
+// isValid reports whether the metadata of another member is within the limits.
 func (n nodeMetadata) isValid() bool {
 	return len(n.Zone) <= maxZoneNameBytes && len(n.ReplogAddress) <= maxReplogAddressBytes
 }
 
-// MemberInfo is what is known of a member.
+// MemberInfo describes a member.
 type MemberInfo struct {
 	Name          string       `json:"name"`
 	Zone          string       `json:"zone,omitempty"`
 	Status        quota.Status `json:"-"`
-	ReplogAddress string       `json:"record,omitempty"` // where it serves the replicated log
-	LogIndex      uint64       `json:"index,omitempty"`  // of its replicated log, by its last report
-	ReportedAtMs  int64        `json:"at,omitempty"`     // of its last report, Unix ms by its clock
+	ReplogAddress string       `json:"record,omitempty"` // at which it serves the replicated log
+	LogIndex      uint64       `json:"index,omitempty"`  // index of its replicated log, by its last report
+	ReportedAtMs  int64        `json:"at,omitempty"`     // time of its last report, Unix ms by its clock
 }
 
-// SetMemberStatus takes a change of membership, with the member's metadata.
+// SetMemberStatus records a member's new status and its encoded metadata. Malformed metadata is logged
+// and treated as empty.
 func (m *Member) SetMemberStatus(name string, status quota.Status, meta []byte) {
 	var metadata nodeMetadata
 	if err := json.Unmarshal(meta, &metadata); len(meta) > 0 && err != nil || !metadata.isValid() {
@@ -52,8 +53,7 @@
 	}
 }
 
-// removeExpired removes what is known of members that package quota has forgotten. The caller
-// holds the lock.
+// removeExpired removes the state of members that package quota has removed. The caller holds the lock.
 func (m *Member) removeExpired(now time.Duration) {
 	m.quotaState.RemoveExpired(now)
 	known := m.quotaState.Members()
@@ -63,7 +63,7 @@
 	removeUnknown(m.encodedUsages, known)
 }
 
-// removeUnknown removes the entries of all but the known members.
+// removeUnknown removes the entries whose member is not in known.
 func removeUnknown[T any](byMember map[string]T, known map[string]quota.Status) {
 	maps.DeleteFunc(byMember, func(name string, _ T) bool {
 		_, ok := known[name]
@@ -71,7 +71,7 @@
 	})
 }
 
-// Members returns all members, this one too, by name.
+// Members returns all members, including this one, sorted by name.
 func (m *Member) Members() (all []MemberInfo) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +94,7 @@
 	return all
 }
 
-// LeaseHolders returns the members among which limits are allocated, by name.
+// LeaseHolders returns the names of the members among which limits are allocated, sorted.
 func (m *Member) LeaseHolders() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/gossip/observation.go
+++ b/internal/fleet/gossip/observation.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// minRecentFailures is what one failure counts for a moment after it, as counts of recent
-	// events decay.
+	// minRecentFailures is the failure count from which a server can be failing. It is below 1 because
+	// counts of recent events decay: a single failure counts as less than 1 shortly after it.
 	minRecentFailures = 0.5
-	// minReportedAttempts is the count of recent attempts below which a server is not reported.
+	// minReportedAttempts is the count of recent attempts below which a server does not count as
+	// attempted, and is not reported unless it is warming up.
 	minReportedAttempts = 0.1
-	// unknownLoad is the load of a zone without a load report.
+	// unknownLoad is the load of a zone of which no load report was received.
 	unknownLoad = -1
 
-	maxObservedCount  = 1e6 // servers in an observation of another member
-	maxObservedAmount = 1e9 // attempts, failures or load in one
+	maxObservedCount  = 1e6 // limit on a number of servers in another member's observation
+	maxObservedAmount = 1e9 // limit on attempts, failures or load in it
 )
 
-// zoneObservation is a zonestatus.Observation that is written as
-// [zone, endpoints, failing, attempted, attempts, failed attempts, load, warming up], amounts with
-// three digits.
+// zoneObservation is a zonestatus.Observation that is encoded as the JSON array
+// [zone, endpoints, failing, attempted, attempts, failed attempts, load, warming up]. Attempts, failed
+// attempts and load are rounded to three significant digits.
 type zoneObservation zonestatus.Observation
 
 // MarshalJSON implements json.Marshaler.
@@ -36,9 +37,9 @@
 	if err != nil {
 		return nil, err
 	}
-	digits := func(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
+	formatAmount := func(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
 	return fmt.Appendf(nil, "[%s,%d,%d,%d,%s,%s,%s,%d]", zone, o.Endpoints, o.Failing, o.Attempted,
-		digits(o.Attempts), digits(o.FailedAttempts), digits(o.Load), o.WarmingUp), nil
+		formatAmount(o.Attempts), formatAmount(o.FailedAttempts), formatAmount(o.Load), o.WarmingUp), nil
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -50,12 +51,12 @@
 		return err
 	}
 	if len(fields) != want {
-		return fmt.Errorf("zone observation of %d fields, want %d", len(fields), want)
+		return fmt.Errorf("zone observation has %d fields, want %d", len(fields), want)
 	}
 	return nil
 }
 
-// isValid is whether an observation of another member can be right.
+// isValid reports whether another member's observation is plausible: within the limits and consistent.
 func (o *zoneObservation) isValid() bool {
 	isCount := func(n int) bool { return n >= 0 && n <= maxObservedCount }
 	isAmount := func(x float64) bool { return x >= 0 && x <= maxObservedAmount }
@@ -66,8 +67,8 @@
 		(o.Load == unknownLoad || isAmount(o.Load))
 }
 
-// observeZones sums up by zone what a node has observed of its servers. Of more zones than a
-// report takes it returns those with the most attempts. The result is in order of names.
+// observeZones aggregates a node's observations of its servers by zone and returns them sorted by zone
+// name. If there are more than maxZones zones, it returns those with the most attempts.
 func observeZones(servers []balance.ServerUsage) []zoneObservation {
 	byZone := map[string]*zoneObservation{}
 	loadCounts := map[string]int{}
@@ -99,10 +100,11 @@
 	return all
 }
 
-// add counts a server of the zone, its load apart. It is failing if half of its attempts have
-// failed, from this node: a verdict of others is no evidence from here.
+// add adds a server of the zone to all counts except the load. The server counts as failing if at least
+// half of this node's attempts to it failed. Other members' reports of the server are not considered,
+// because an observation must be this node's own evidence.
 func (o *zoneObservation) add(server balance.ServerUsage) {
-	// A failure is counted when its attempt ends, so it decays later than its attempt.
+	// A failure is counted when its attempt ends, so it decays later than the attempt and can count more.
 	attempts := max(server.RecentAttempts, server.RecentFailures)
 	o.Endpoints++
 	o.Attempts += attempts
@@ -118,7 +120,7 @@
 	}
 }
 
-// ZoneReports returns what each member with a zone has last observed, by name.
+// ZoneReports returns the latest zone report of each member that has a zone, sorted by member name.
 func (m *Member) ZoneReports() (all []zonestatus.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +132,7 @@
 	return all
 }
 
-// OwnZoneReport returns what this member's node has last observed.
+// OwnZoneReport returns the latest zone report of this member's node.
 func (m *Member) OwnZoneReport() zonestatus.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/gossip/receive.go
+++ b/internal/fleet/gossip/receive.go
@@ -8,8 +8,9 @@
 	"slices"
 )
 
-// Receive takes a message of another member, and queues it for others if it is new. Gossip
-// delivers each message several times: it is decoded once.
+// Receive merges a broadcast of another member and, if it is new, queues it for the other members.
+// Gossip delivers each message several times, so a hash of the accepted ones is kept to skip decoding
+// duplicates.
 func (m *Member) Receive(raw []byte) {
 	hash := maphash.Bytes(m.hashSeed, raw)
 	slot := &m.receivedHashes[hash%uint64(len(m.receivedHashes))]
@@ -54,8 +55,8 @@
 	}
 }
 
-// mergeReport takes a report, and is false if it is invalid or not new. The caller holds the
-// lock.
+// mergeReport merges a report. It returns false if the report is invalid or not new. The caller holds
+// the lock.
 func (m *Member) mergeReport(received report) bool {
 	if !received.isValid() || !m.quotaState.Merge(received.Report) {
 		return false
@@ -64,7 +65,7 @@
 	return true
 }
 
-// encodeState is the last messages of all members, for one that was partitioned.
+// encodeState returns the latest messages of all members, for a member that was partitioned from them.
 func (m *Member) encodeState() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,7 +85,7 @@
 	return raw
 }
 
-// receiveState takes another member's encodeState.
+// receiveState merges the state that another member's encodeState returned.
 func (m *Member) receiveState(raw []byte) {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(raw, &messages); err != nil {
--- a/internal/fleet/gossip/report.go
+++ b/internal/fleet/gossip/report.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxPayloadBytes is what one message may take of a datagram, which has several.
+	// maxPayloadBytes limits a broadcast, because a datagram carries several of them.
 	maxPayloadBytes = 1100
-	// maxZones and maxZoneNameBytes bound the observations of a report, so that they always fit.
+	// maxZones and maxZoneNameBytes limit the observations of a report so that they fit one broadcast.
 	maxZones         = 12
 	maxZoneNameBytes = 24
 )
 
-// report is one member's report as it is sent: what it has spent, and what its node has observed.
-// A report without zone and observations is an older version's.
+// report is a member's report as it is sent: its quota usage and its node's zone observations. A report
+// of an older version has neither zone nor observations.
 type report struct {
 	quota.Report
 	Zone         string            `json:"zone,omitempty"`
-	LogIndex     uint64            `json:"index,omitempty"` // of the replicated log that the member serves
+	LogIndex     uint64            `json:"index,omitempty"` // last index of the member's replicated log
 	Observations []zoneObservation `json:"sights,omitempty"`
 }
 
@@ -32,7 +32,7 @@
 	return decoded, err
 }
 
-// isValid is whether what another member's report says of zones can be right.
+// isValid reports whether the zone and the observations of another member's report are plausible.
 func (r *report) isValid() bool {
 	if len(r.Zone) > maxZoneNameBytes || len(r.Observations) > maxZones {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// zoneReport is the report's evidence on zones.
+// zoneReport returns the report's zone observations as evidence for package zonestatus.
 func (r report) zoneReport() zonestatus.Report {
 	result := zonestatus.Report{
 		Member:       r.Member,
@@ -59,9 +59,9 @@
 	return result
 }
 
-// encode returns the report with as many usages as fit. The observations fit beside them unless
-// the names of zones are escaped at length: then the last ones by name are dropped. It returns
-// nil if the report can't be encoded.
+// encode returns the report as JSON of at most maxPayloadBytes, with as many usages as fit. If the
+// observations alone do not fit, because JSON escapes make zone names longer, the last ones by name are
+// dropped. It returns nil if the report can't be encoded.
 func (r report) encode() []byte {
 	r.Usages = slices.Clone(r.Usages)
 	slices.SortStableFunc(r.Usages, func(a, b quota.Usage) int {
@@ -69,7 +69,7 @@
 	})
 	for {
 		raw, err := json.Marshal(r)
-		if err != nil { // the module passes no number that JSON can't represent
+		if err != nil { // not expected: all numbers are finite, so JSON can represent them
 			slog.Error("report not encoded", "component", "gossip", "error", err)
 			return nil
 		}
@@ -84,14 +84,15 @@
 	}
 }
 
-// Priorities that are above any number of attempts.
+// Retention priorities, each above any number of attempts.
 const (
 	priorityFailing = 1e9
 	priorityTokens  = 2e9
 )
 
-// retentionPriority decides which usages stay if not all fit, the highest ones: tokens spent, as
-// others would take silence for none; then failures; then the number of attempts.
+// retentionPriority returns the priority with which a usage is kept if not all fit; the highest are
+// kept. Spent tokens come first, because other members would take a missing usage for no tokens spent.
+// Failures come next, then the number of attempts.
 func retentionPriority(usage quota.Usage) float64 {
 	switch {
 	case usage.WarmingUp || usage.Spent+usage.PriorSpent > 0:
--- a/internal/fleet/gossip/report_test.go
+++ b/internal/fleet/gossip/report_test.go
@@ -10,8 +10,8 @@
 	"coralrelay/internal/fleet/quota"
 )
 
-// Of a report that does not fit the endpoints with the fewest attempts are dropped; tokens spent and
-// the observations of 12 zones stay.
+// An oversized report loses the endpoints with the fewest attempts. Spent tokens and the observations
+// of 12 zones are kept.
 func TestReportFitsOneMessage(t *testing.T) {
 	oversized := report{
 		Report: quota.Report{
@@ -84,7 +84,7 @@
 	}
 }
 
-// A report of an older version is accepted; an invalid one, or one of an unknown member, is not.
+// A report of an older version is accepted; an invalid report, or one of an unknown member, is rejected.
 func TestReceiveRejectsInvalidReports(t *testing.T) {
 	const counters = `{"member":"n2","boot":1,"seq":1,"firsts":3`
 	const withZone = counters + `,"zone":"a"`
@@ -104,7 +104,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			member := NewMember("n1", testQuotaConfig, quota.Guards{}, systemClock)
-			member.Receive([]byte(tt.raw)) // before its member is known
+			member.Receive([]byte(tt.raw)) // rejected: its member is not known yet
 			member.SetMemberStatus("n2", quota.Alive, []byte(`{"zone":"a","record":"127.0.0.1:1"}`))
 			member.Receive([]byte(tt.raw))
 			member.Receive([]byte(tt.raw))
--- a/internal/fleet/gossip/run.go
+++ b/internal/fleet/gossip/run.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// rejoinInterval is how often a member tries to join peers that are missing.
+	// rejoinInterval is how often a member tries to join peers that are not in the cluster.
 	rejoinInterval = 2 * time.Second
-	// leaveTimeout is how long a member tries to tell the others that it leaves.
+	// leaveTimeout limits how long a member broadcasts that it leaves.
 	leaveTimeout = time.Second
-	// stateSyncInterval is how often a member exchanges its complete state with another one.
+	// stateSyncInterval is how often a member exchanges its complete state with a random other member.
 	stateSyncInterval = 10 * time.Second
-	// nameReclaimTimeout is how long after a failure a member may come back at another address.
+	// nameReclaimTimeout is how long after a failure a member's name can be reclaimed from another address.
 	nameReclaimTimeout = time.Second
 )
 
-// Run joins the other members and gossips with them until ctx ends; then it tells them that it
+// Run joins the other members and gossips with them until ctx ends. It then broadcasts that this member
 // leaves.
 func (m *Member) Run(ctx context.Context, config Config) error {
 	clusterConfig, err := m.clusterConfig(config)
 	if err != nil {
 		return err
 	}
-	events, err := newDelegate(m, clusterConfig.RetransmitMult)
+	clusterDelegate, err := newDelegate(m, clusterConfig.RetransmitMult)
 	if err != nil {
 		return err
 	}
-	clusterConfig.Delegate = events
-	clusterConfig.Events = events
+	clusterConfig.Delegate = clusterDelegate
+	clusterConfig.Events = clusterDelegate
 	cluster, err := memberlist.Create(clusterConfig)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -43,7 +43,7 @@
 	m.mu.Lock()
 	m.cluster = cluster
 	m.enqueue = func(name string, payload []byte) {
-		events.queue.QueueBroadcast(&broadcast{name, payload})
+		clusterDelegate.queue.QueueBroadcast(&broadcast{name, payload})
 	}
 	m.mu.Unlock()
 	rejoin := time.NewTicker(rejoinInterval)
@@ -59,7 +59,7 @@
 	}
 }
 
-// clusterConfig returns memberlist's configuration with a transport that listens already.
+// clusterConfig returns the configuration of memberlist. Its transport is already listening.
 func (m *Member) clusterConfig(config Config) (*memberlist.Config, error) {
 	bind, err := netip.ParseAddrPort(config.BindAddress)
 	if err != nil {
@@ -92,15 +92,15 @@
 	c.GossipInterval = config.Interval
 	c.ProbeInterval = 5 * config.Interval
 	c.ProbeTimeout = 5 * config.Interval / 2
-	// Where few members are left they confirm each other's suspicions late. A false one does no
-	// harm, as tokens are held back for longer than that.
+	// Where few members are left, they confirm each other's suspicions late, so the longest suspicion is
+	// kept short. A false one does no harm, because tokens are withheld for longer than it lasts.
 	c.SuspicionMaxTimeoutMult = 2
 	c.PushPullInterval = stateSyncInterval
 	c.DeadNodeReclaimTime = nameReclaimTimeout
 	return c, nil
 }
 
-// joinMissing joins those of the peers that are not in the cluster.
+// joinMissing joins the peers that are not in the cluster.
 func joinMissing(cluster *memberlist.Memberlist, peers []string) {
 	present := []string{cluster.LocalNode().Address()}
 	for _, node := range cluster.Members() {
@@ -110,12 +110,12 @@
 		return slices.Contains(present, peer)
 	})
 	if len(missing) > 0 {
-		_, _ = cluster.Join(missing) // memberlist logs a failure, and the next round tries again
+		_, _ = cluster.Join(missing) // memberlist logs the error; Run retries after rejoinInterval
 	}
 }
 
-// transport is memberlist's, but connects from the IP that it listens on, so that others can
-// tell members apart, and so can a fault proxy between them.
+// transport is a memberlist.NetTransport that connects from the IP address that it listens on, so that
+// the other members, and a fault proxy between them, can identify a member by its source address.
 type transport struct {
 	*memberlist.NetTransport
 	localIP net.IP
--- a/internal/fleet/gossip/run_test.go
+++ b/internal/fleet/gossip/run_test.go
@@ -24,12 +24,13 @@
 	MaxOutlierFraction: 1,
 }
 
-const testTimeout = 10 * time.Second // no test waits this long unless it fails
+// testTimeout is how long a test waits for a condition before it fails.
+const testTimeout = 10 * time.Second
 
-// systemClock is Unix time.
+// systemClock returns Unix time.
 func systemClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// freeAddress returns an address for TCP and UDP on which nobody listens.
+// freeAddress returns an address on which no process listens, for TCP or UDP.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.Reserve()
@@ -39,8 +40,9 @@
 	return address
 }
 
-// Members receive each other's reports, and none from a member without the key. Many calls at once
-// while membership changes must not deadlock, as they once did.
+// Members with the key receive each other's reports, and none from a member without it. The concurrent
+// calls of ReportQuotaUsage guard against a deadlock that occurred when membership changed during such
+// calls: see the lock order in newDelegate.
 func TestMembersWithKeyExchangeReports(t *testing.T) {
 	keyFile := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(keyFile, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
@@ -55,21 +57,21 @@
 		peers = append(peers, address)
 		member := NewMember(name, testQuotaConfig, quota.Guards{}, systemClock)
 		members[name] = member
-		isStranger := name == "stranger"
+		isUnencrypted := name == "stranger"
 		config := Config{
 			BindAddress: address,
 			Peers:       slices.Clone(peers),
 			KeyFile:     keyFile,
-			Unencrypted: isStranger,
+			Unencrypted: isUnencrypted,
 			Interval:    20 * time.Millisecond,
 			LogOutput:   io.Discard,
 		}
 		go func() { ended <- member.Run(ctx, config) }()
 		usage := balance.QuotaUsage{FirstAttempts: 10, Servers: []balance.ServerUsage{
-			{ID: fmt.Sprint("bad-", isStranger), RecentAttempts: 5, RecentFailures: 5},
+			{ID: fmt.Sprint("bad-", isUnencrypted), RecentAttempts: 5, RecentFailures: 5},
 			{ID: "cold", WarmingUp: true, SlowStartBudget: float64(i + 1), RecentAttempts: 1},
 		}}
-		for range 2 { // two goroutines each
+		for range 2 { // two goroutines for each member
 			go func() {
 				for ctx.Err() == nil {
 					member.ReportQuotaUsage(usage)
@@ -84,7 +86,7 @@
 		for startedAt := time.Now(); ; {
 			lease := members[name].ReportQuotaUsage(usage)
 			if lease.RetryBudget > 1.5 && slices.Equal(lease.EjectedServers, []string{"bad-false"}) {
-				break // its own tenth of 10, and a third of what the two others have left
+				break // a tenth of its own 10 attempts, and a third of what the two others have left
 			}
 			if time.Since(startedAt) > testTimeout {
 				t.Fatalf("%s: %+v", name, lease)
--- a/internal/fleet/gossip/stored_test.go
+++ b/internal/fleet/gossip/stored_test.go
@@ -33,17 +33,17 @@
 	}
 }
 
-// storedUsage is the usage message and, as a member reads it, the usage in it.
+// storedUsage returns the stored usage message, and the usage that a member decodes from it.
 func storedUsage() (usageMessage, Usage) {
-	datagram := usageMessage{Member: "node-b", HalfEpoch: 201, Paths: map[string]usageCounters{"acme": {202, 203, 204}, "acme/web:r": {205, 206, 207}}, OmittedMax: usageCounters{208, 209, 210}}
-	return datagram, Usage{
+	message := usageMessage{Member: "node-b", HalfEpoch: 201, Paths: map[string]usageCounters{"acme": {202, 203, 204}, "acme/web:r": {205, 206, 207}}, OmittedMax: usageCounters{208, 209, 210}}
+	return message, Usage{
 		Usage: account.Usage{Member: "node-b", ReportedAt: storedClock, HalfEpoch: 201, UsedBefore: map[string]account.Amounts{
 			"acme": {Setups: 202, Retries: 203, Probes: 204}, "acme/web:r": {Setups: 205, Retries: 206, Probes: 207}}},
 		OmittedMax: account.Amounts{Setups: 208, Retries: 209, Probes: 210},
 	}
 }
 
-// storedMember knows node-b by its stored metadata.
+// storedMember returns the member node-a, to which node-b has been added with its stored metadata.
 func storedMember(t *testing.T) *Member {
 	member := NewMember("node-a", testQuotaConfig, quota.Guards{}, func() time.Duration { return storedClock })
 	want := nodeMetadata{Zone: "zone-b", ReplogAddress: "127.0.0.1:1"}
@@ -54,12 +54,13 @@
 	}
 	member.SetMemberStatus("node-b", quota.Alive, storedtest.AssertFile(t, "meta.json", raw))
 	if got := member.metadata["node-b"]; got != want {
-		t.Errorf("meta data is read as %+v, want %+v", got, want)
+		t.Errorf("metadata is read as %+v, want %+v", got, want)
 	}
 	return member
 }
 
-func checkStored(t *testing.T, member *Member) {
+// assertStoredMessages checks that the member has merged the stored messages of node-b.
+func assertStoredMessages(t *testing.T, member *Member) {
 	t.Helper()
 	_, usage := storedUsage()
 	if got, want := member.reports["node-b"], storedReport(); !reflect.DeepEqual(got, want) {
@@ -70,18 +71,18 @@
 	}
 }
 
-// Members of this version and of the one that wrote the files read each other's messages: one by
-// one, and all at once after a partition.
+// Messages are compatible with the version that wrote the stored files in both directions, whether they
+// are received one by one or as the complete state after a partition.
 func TestStoredGossipIsReadAndWrittenAlike(t *testing.T) {
-	member, cutOff := storedMember(t), storedMember(t)
-	datagram, _ := storedUsage()
+	member, partitioned := storedMember(t), storedMember(t)
+	message, _ := storedUsage()
 	storedtest.AssertDistinctFields(t, storedReport())
-	storedtest.AssertDistinctFields(t, datagram)
+	storedtest.AssertDistinctFields(t, message)
 	member.Receive(storedtest.AssertFile(t, "report.json", storedReport().encode()))
-	member.Receive(storedtest.AssertFile(t, "used.json", datagram.encode()))
-	checkStored(t, member)
-	cutOff.receiveState(storedtest.AssertFile(t, "state.json", member.encodeState()))
-	checkStored(t, cutOff)
+	member.Receive(storedtest.AssertFile(t, "used.json", message.encode()))
+	assertStoredMessages(t, member)
+	partitioned.receiveState(storedtest.AssertFile(t, "state.json", member.encodeState()))
+	assertStoredMessages(t, partitioned)
 }
 
 func TestStoredDirectMessageIsDelivered(t *testing.T) {
@@ -90,7 +91,7 @@
 	member.OnMessage = func(message []byte) { got = bytes.Clone(message) }
 	(&delegate{member: member}).NotifyMsg([]byte(`s{"member":"node-b"}`))
 	if want := `{"member":"node-b"}`; string(got) != want {
-		t.Errorf("handed on %q, want %q", got, want)
+		t.Errorf("delivered %q, want %q", got, want)
 	}
 }
 
--- a/internal/fleet/gossip/usage.go
+++ b/internal/fleet/gossip/usage.go
@@ -10,20 +10,19 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// usageMessagePrefix is how a usage message begins. Older versions take it for an empty report.
+// usageMessagePrefix is the start of every usage message. Older versions decode one as an empty report.
 const usageMessagePrefix = `{"used":`
 
-// usageMessage is what one member used of accounts in the first half of an epoch. It is sent in
-// the second half, the only time in which others use it; what it has of a path does not change
-// any more by then.
+// usageMessage is a member's usage of accounts in the first half of an epoch. It is sent in the second
+// half, because only then do other members use it, and the usage of the first half is final by then.
 type usageMessage struct {
 	Member     string                   `json:"used"`
-	HalfEpoch  int64                    `json:"half"`          // the second half
-	Paths      map[string]usageCounters `json:"paths"`         // the most used ones
-	OmittedMax usageCounters            `json:"rest,omitzero"` // no path left out has more
+	HalfEpoch  int64                    `json:"half"`          // number of the second half
+	Paths      map[string]usageCounters `json:"paths"`         // the most used paths
+	OmittedMax usageCounters            `json:"rest,omitzero"` // no omitted path has a higher count
 }
 
-// usageCounters are setups, retries and probes, as they are sent.
+// usageCounters are the numbers of setups, retries and probes, in this order.
 type usageCounters [3]float64
 
 func newUsageCounters(amounts account.Amounts) usageCounters {
@@ -36,14 +35,14 @@
 
 func (c usageCounters) sum() float64 { return c[0] + c[1] + c[2] }
 
-// Usage is what a member last reported to use of accounts. Where that was too long for a message,
-// no path that it leaves out was used more than OmittedMax in the half epoch before.
+// Usage is a member's last reported usage of accounts. If it was too long for one message, some paths
+// are omitted; none of them was used more than OmittedMax in the previous half epoch.
 type Usage struct {
 	account.Usage
 	OmittedMax account.Amounts
 }
 
-// encode returns the message with as many paths as fit, the most used ones.
+// encode returns the message as JSON of at most maxPayloadBytes, with as many of the most used paths as fit.
 func (m usageMessage) encode() []byte {
 	order := slices.SortedFunc(maps.Keys(m.Paths), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.Paths[b].sum(), m.Paths[a].sum()), cmp.Compare(a, b))
@@ -58,7 +57,7 @@
 	}
 }
 
-// keepOnly sets the paths to those of all that are kept, and OmittedMax by the others.
+// keepOnly sets Paths to the kept paths of all, and OmittedMax to the maximum of the other paths.
 func (m *usageMessage) keepOnly(kept []string, all map[string]usageCounters) {
 	m.Paths, m.OmittedMax = map[string]usageCounters{}, usageCounters{}
 	for _, path := range kept {
@@ -74,8 +73,8 @@
 	}
 }
 
-// PublishUsage takes what this member's node uses of accounts, and queues it for the others once
-// in the second half of each epoch.
+// PublishUsage records the local node's usage of accounts, and queues it for broadcast once in the
+// second half of each epoch.
 func (m *Member) PublishUsage(usage account.Usage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,8 +102,8 @@
 	}
 }
 
-// mergeUsage takes another member's usage message, and returns the name to broadcast it by. It is
-// not new if the member is unknown, or if it is invalid or old. The caller holds the lock.
+// mergeUsage merges another member's usage message and returns the name for broadcasting it. isNew is
+// false if the member is unknown, or if the usage is invalid or old. The caller holds the lock.
 func (m *Member) mergeUsage(raw []byte) (name string, isNew bool, err error) {
 	var message usageMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -141,7 +140,7 @@
 
 func isUsageMessage(raw []byte) bool { return bytes.HasPrefix(raw, []byte(usageMessagePrefix)) }
 
-// Usages returns each member's last usage, by name of the member.
+// Usages returns each member's last usage, sorted by member name.
 func (m *Member) Usages() (all []Usage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/gossip/usage_test.go
+++ b/internal/fleet/gossip/usage_test.go
@@ -10,9 +10,9 @@
 	"coralrelay/internal/fleet/quota"
 )
 
-// What was used in the first half of an epoch reaches others in the second, in one message: what
-// does not fit was used no more than it says. Messages that are old, invalid, or of an unknown
-// member or the receiver itself are not accepted.
+// The usage of an epoch's first half reaches other members in the second half, in one message. An omitted
+// path was used no more than the message's OmittedMax. Messages that are old or invalid, or that name an
+// unknown member or the receiver itself, are rejected.
 func TestUsageReachesOtherMembersInOneMessage(t *testing.T) {
 	for _, paths := range []int{0, 5, 500} {
 		var sent [][]byte
