--- a/internal/fleet/storedtest/storedtest.go
+++ b/internal/fleet/storedtest/storedtest.go
@@ -1,9 +1,10 @@
-// Package storedtest supports tests which show that stored files and messages of earlier
-// versions are still read, and still written byte for byte. Only tests import it.
+// Package storedtest helps to test the compatibility of stored files and messages: that those of
+// earlier versions can still be decoded, and are still encoded byte for byte alike. Only tests import
+// it.
 //
-// A package keeps its stored files in testdata/stored. Running its tests with goldie's
-// -update flag writes them anew; that is a change of the format. All functions report
-// through t; they return no errors and start no goroutine.
+// A package keeps its stored files in testdata/stored. Running its tests with goldie's -update flag
+// rewrites these files, which is a change of the format. All functions report failures through t; they
+// return no errors and start no goroutine.
 package storedtest
 
 import (
@@ -20,8 +21,8 @@
 
 const directory = "testdata/stored"
 
-// AssertJSON checks that value has every field set, that it is written as the line of JSON
-// in the stored file, and that this line is read as value. It returns the line.
+// AssertJSON checks that every field of value is set, that value is encoded as the line of JSON in the
+// stored file, and that this line is decoded as value. It returns the line.
 func AssertJSON[T any](t *testing.T, name string, value T) []byte {
 	t.Helper()
 	AssertDistinctFields(t, value)
@@ -40,7 +41,7 @@
 	return stored
 }
 
-// AssertFile checks that the stored file holds exactly what is written now, and returns it.
+// AssertFile checks that the stored file holds exactly the bytes of written, and returns its content.
 func AssertFile(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	files := goldie.New(t, goldie.WithFixtureDir(directory), goldie.WithNameSuffix(""))
@@ -48,8 +49,8 @@
 	return read(t, name)
 }
 
-// ReadFile returns the stored file, for a format that is not written to the same bytes each
-// time. With -update it first stores what write returns.
+// ReadFile returns the content of the stored file. It is for formats whose encoding is not deterministic,
+// to which AssertFile does not apply. With -update it first stores what write returns.
 func ReadFile(t *testing.T, name string, write func() []byte) []byte {
 	t.Helper()
 	if flag.Lookup("update").Value.String() == "true" {
@@ -69,11 +70,11 @@
 	return stored
 }
 
-// AssertDistinctFields checks that no field which value holds is zero, and that no two hold
-// the same, so that none can be lost or mistaken for another unseen.
+// AssertDistinctFields checks that no field in value is zero, and that no two fields other than booleans
+// are equal. A test that compares such a value detects each field that is lost or swapped with another.
 func AssertDistinctFields(t *testing.T, value any) {
 	t.Helper()
-	holders := map[string]string{}
+	pathsByText := map[string]string{}
 	visitLeaves(reflect.ValueOf(value), fmt.Sprintf("%T", value), func(path string, leaf reflect.Value) {
 		if leaf.IsZero() {
 			t.Errorf("%s is zero", path)
@@ -83,15 +84,15 @@
 			return
 		}
 		text := fmt.Sprint(leaf)
-		if other, taken := holders[text]; taken {
+		if other, found := pathsByText[text]; found {
 			t.Errorf("%s and %s are both %s", other, path, text)
 		}
-		holders[text] = path
+		pathsByText[text] = path
 	})
 }
 
-// visitLeaves visits every value that holds no others; nil and empty collections are among
-// them.
+// visitLeaves calls visit for each value within value that contains no other values, including nil and
+// empty collections.
 func visitLeaves(value reflect.Value, path string, visit func(path string, leaf reflect.Value)) {
 	kind := value.Kind()
 	isList := kind == reflect.Slice || kind == reflect.Array
