--- a/internal/fleet/agent/accounts_test.go
+++ b/internal/fleet/agent/accounts_test.go
@@ -20,10 +20,10 @@
 	"coralrelay/internal/fleet/replog"
 )
 
-// rootKey may create accounts in the log of a testFleet.
+// rootKey is the root key of a testFleet's replicated log. Its holder may create accounts.
 var rootKey = ed25519.NewKeyFromSeed([]byte("the root of the tests' own fleet"))
 
-// signedEntry returns an operator's entry with a body, as JSON.
+// signedEntry returns an operator's entry, signed with rootKey, as JSON.
 func signedEntry(kind logentry.Kind, body string) string {
 	e := logentry.Entry{
 		Kind:       kind,
@@ -40,11 +40,11 @@
 	return string(raw)
 }
 
-// Operators can propose neither the status of zones nor allocations, signed or not, nor
-// anything that is not signed.
+// Operators can propose neither zone statuses nor allocations, even in a signed entry, and no entry
+// without a signature.
 func TestOperatorsCannotProposeFleetDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestFleet(t, t.Context())
+		fleet := newTestFleet(t, t.Context())
 		for _, tt := range []struct{ entry, want string }{
 			{`{"kind":"zones","by":"","at":1,"body":{"base":0,"set":[],"zones":["a"]}}`, "postures"},
 			{signedEntry(logentry.KindZones, `{"base":0,"set":[],"zones":["a"]}`), "postures"},
@@ -55,20 +55,20 @@
 		} {
 			for _, method := range []string{methodCheck, methodPropose} {
 				request := agentapi.OperatorRequest{Method: method, Entry: json.RawMessage(tt.entry)}
-				answer, err := w.agent.HandleOperator(t.Context(), request)
+				answer, err := fleet.agent.HandleOperator(t.Context(), request)
 				if err == nil || !strings.Contains(err.Error(), tt.want) {
 					t.Errorf("%s %s: %v, %v", method, tt.entry, answer, err)
 				}
 			}
 		}
-		if i := w.log.View().State.Index; i != 0 {
-			t.Errorf("the log is at index %d", i)
+		if i := fleet.log.View().State.Index; i != 0 {
+			t.Errorf("log index is %d after rejected entries, want 0", i)
 		}
 	})
 }
 
-// accountChanges are an account's changes, in order: a team asks for more than its account
-// has, and the account's limits are cut.
+// accountChanges returns changes of an account, in order. Among them are a team that requests more than
+// the account's limits leave, and a reduction of the account's limits.
 func accountChanges() []string {
 	const limits = `"limits":{"open":-1,"rate":%d,"retries":-1,"probes":-1,"routes":%d,"teams":%[2]d}`
 	const route = `{"do":"route","path":"acme/web","route":{"name":"r","owner":"acme/web",` +
@@ -86,49 +86,48 @@
 	}
 }
 
-// The node is sent the routes and limits of the account changes that were accepted, and only
-// of those.
+// The node receives the routes and limits of the accepted account changes, and of no others.
 func TestAccountChangesReachTheNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newTestFleet(t, ctx)
-		w.log.change(func(v *replog.View) { v.WithinLease, v.ConfirmedAt = true, time.Now() })
-		done := w.run(ctx)
-		node := accountsNode{testFleet: w}
+		fleet := newTestFleet(t, ctx)
+		fleet.log.change(func(v *replog.View) { v.WithinLease, v.ConfirmedAt = true, time.Now() })
+		done := fleet.run(ctx)
+		node := accountsNode{testFleet: fleet}
 		for _, change := range accountChanges() {
-			body := fmt.Sprintf(`{"base":%d,"ops":[%s]}`, w.log.View().State.Accounts.Version, change)
-			w.writeTranscript("operator", "proposes, signed by the root: %s", body)
-			w.askAsOperator(t, `{"ask":"propose","entry":`+signedEntry(logentry.KindAccounts, body)+`}`)
+			body := fmt.Sprintf(`{"base":%d,"ops":[%s]}`, fleet.log.View().State.Accounts.Version, change)
+			fleet.writeTranscript("operator", "proposes, signed by the root: %s", body)
+			fleet.askAsOperator(t, `{"ask":"propose","entry":`+signedEntry(logentry.KindAccounts, body)+`}`)
 			time.Sleep(150 * time.Millisecond)
 			node.reportUnusedQuotas()
 			node.poll(t)
 		}
-		goldie.New(t).Assert(t, "accounts", w.transcript.Bytes())
+		goldie.New(t).Assert(t, "accounts", fleet.transcript.Bytes())
 		cancel()
 		<-done
 	})
 }
 
-// accountsNode is the node of a testFleet, which keeps its route table and lease.
+// accountsNode is the node of a testFleet. It keeps the progress of its route table and lease.
 type accountsNode struct {
 	*testFleet
 	report      agentapi.Report
 	reassembler agentapi.Reassembler
 }
 
-// reportUnusedQuotas lets the other members report in an epoch's second half that they have
-// used nothing.
+// reportUnusedQuotas delivers reports of no usage from the other members, if it is the second half of an
+// epoch.
 func (n *accountsNode) reportUnusedQuotas() {
-	half := time.Now().UnixNano() / int64(750*time.Millisecond)
-	if half%2 == 0 {
+	halfEpoch := time.Now().UnixNano() / int64(750*time.Millisecond)
+	if halfEpoch%2 == 0 {
 		return
 	}
 	for i := range testZones[1:] {
-		n.agent.Gossip.Receive(fmt.Appendf(nil, `{"used":"n%d","half":%d,"paths":{}}`, i+2, half))
+		n.agent.Gossip.Receive(fmt.Appendf(nil, `{"used":"n%d","half":%d,"paths":{}}`, i+2, halfEpoch))
 	}
 }
 
-// poll sends the node's report, and writes what is new in the answer to the transcript.
+// poll sends the node's report, and writes new route tables and leases in the response to the transcript.
 func (n *accountsNode) poll(t *testing.T) {
 	t.Helper()
 	n.reassembler.FillProgress(&n.report)
@@ -144,9 +143,9 @@
 	}
 }
 
-// A path that a report has omitted counts as used as much as the largest that it omitted.
-// Paths without limits that are reallocated are not filled in, and complete reports and those
-// of other half epochs stay as they are.
+// A path that a report has omitted counts as used as much as its OmittedMax. A path is not filled in if
+// none of its limits is reallocated, and neither complete reports nor those of other half epochs are
+// changed.
 func TestOmittedUsageCountsAsTheLargestOmitted(t *testing.T) {
 	connectionsOnly := account.Limits{Connections: 5, SetupRate: -1, RetryRate: -1, ProbeRate: -1}
 	accounts := account.State{Nodes: map[string]*account.Node{"x": {}, "y": {Limits: connectionsOnly}, "z": {}}}
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -14,21 +14,22 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// component is the attribute of the package's log lines.
+// component is the value of the attribute "component" in the package's log lines.
 const component = "agent"
 
-// evaluationInterval is how often members' reports are looked at. A change of the log is
-// seen at once.
+// evaluationInterval is how often members' reports are evaluated. A change of the replicated log
+// triggers an evaluation at once.
 const evaluationInterval = 100 * time.Millisecond
 
-// ReplicatedLog is what an agent needs of its replica.
+// ReplicatedLog is the replica of the replicated log that an agent uses.
 type ReplicatedLog interface {
-	// View returns the last state, and how fresh it is.
+	// View returns the last state that the replica has applied, and whether it is within its lease.
 	View() replog.View
 	// Changed returns a channel that is closed when the view changes.
 	Changed() <-chan struct{}
-	// Propose has an entry appended, and returns what became of it.
+	// Propose proposes an entry and returns its outcome.
 	Propose(context.Context, logentry.Entry) (logentry.Outcome, error)
+	// IsLeader reports whether this replica leads.
 	IsLeader() bool
 }
 
@@ -36,40 +37,40 @@
 type Options struct {
 	Name, Zone     string
 	Gossip         *gossip.Member
-	Log            ReplicatedLog        // nil for none
-	NoLogReason    string               // why there is none: "off", or what is wrong
-	LogLease       time.Duration        // the log's lease
-	Clock          func() time.Duration // Unix time, as this agent has it
-	ClockOffset    time.Duration        // of Clock over the machine's, for rehearsals
-	Zones          *zonestatus.Config   // nil where zones are not evacuated
-	ZoneGuards     zonestatus.Guards    // guards that a mutation disables
-	AlwaysIsolated bool                 // a mutation: decide alone even within the log's lease
-	SLO            *SLOOptions          // nil where no objectives are kept
-	Accounts       *account.LeaseConfig // nil where the node gets no routes and limits
+	Log            ReplicatedLog        // nil if the agent has no replicated log
+	NoLogReason    string               // why Log is nil: "off", or the error
+	LogLease       time.Duration        // lease of the replicated log
+	Clock          func() time.Duration // returns this agent's Unix time
+	ClockOffset    time.Duration        // Clock minus the machine's clock; 0 except in rehearsals
+	Zones          *zonestatus.Config   // nil if zones are not evacuated
+	ZoneGuards     zonestatus.Guards    // guards that a mutation test disables
+	AlwaysIsolated bool                 // never follow the log; set only by a mutation test
+	SLO            *SLOOptions          // nil if there are no objectives
+	Accounts       *account.LeaseConfig // nil if the node gets no routes and limits
 }
 
-// Agent answers a node and operators: it is an agentapi.Agent. Its methods may be called by
-// several goroutines at once.
+// Agent responds to the local node and to operators. It implements agentapi.Agent. Its methods are safe
+// for concurrent use.
 type Agent struct {
 	Options
 	startedAt   time.Duration
-	objectives  *objectiveKeeper // nil without SLO
+	objectives  *objectiveManager // nil if Options.SLO is nil
 	routeTables routeTables
 	allocator   quotaAllocator
 
 	// Owned by Run.
 	isolatedController *zonestatus.IsolatedController
 	zoneController     *zonestatus.Controller
-	loggedStale        bool          // it was logged that the log is out of its lease
-	proposalSlot       chan struct{} // holds one while a zone change is proposed
+	loggedContactLost  bool          // the last logged change was that the replicated log is out of contact
+	proposalSlot       chan struct{} // holds a value while a zone change is being proposed
 
 	mu       sync.Mutex
-	decision gossip.Decision // the last one
+	decision gossip.Decision // latest decision
 }
 
 var _ agentapi.Agent = (*Agent)(nil)
 
-// New returns an agent that Run has to serve.
+// New returns an agent. It has no effect until Run is called.
 func New(options Options) *Agent {
 	a := &Agent{Options: options, startedAt: options.Clock(), proposalSlot: make(chan struct{}, 1)}
 	if options.Zones != nil {
@@ -83,13 +84,13 @@
 		a.allocator.jobs = make(chan allocationJob, 1)
 	}
 	if options.SLO != nil {
-		a.objectives = newObjectiveKeeper(options)
+		a.objectives = newObjectiveManager(options)
 	}
 	return a
 }
 
-// Run evaluates members' reports and the log until ctx ends. It returns when nothing of the
-// agent runs any more.
+// Run evaluates members' reports and the replicated log until ctx ends. It returns after all goroutines
+// that it started have ended.
 func (a *Agent) Run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -114,7 +115,7 @@
 	}
 }
 
-// evaluate looks at the log and at members' reports once. Proposals run on goroutines.
+// evaluate evaluates the replicated log and members' reports once. It starts a goroutine for each proposal.
 func (a *Agent) evaluate(ctx context.Context, goroutines *sync.WaitGroup) {
 	now := a.Clock()
 	var view replog.View
@@ -135,8 +136,8 @@
 	a.evaluateObjectives(ctx, now, view, a.isLeader(), goroutines)
 }
 
-// decide sets how much traffic the node may send into other zones, by the log or, out of its
-// lease, by the isolated controller.
+// decide sets how much traffic the node may send into other zones. The replicated log determines it
+// within the log's lease, and the isolated controller otherwise.
 func (a *Agent) decide(now time.Duration, view replog.View, zones zonestatus.State) {
 	var decision gossip.Decision
 	if view.State != nil {
@@ -170,7 +171,8 @@
 	return members
 }
 
-// HandleReport takes a report of the node and answers it. The node's clock is the machine's.
+// HandleReport handles a report of the node and returns the response. Times in the response are by the
+// machine's clock, which the node uses.
 func (a *Agent) HandleReport(report agentapi.Report) agentapi.Response {
 	lease := a.Gossip.ReportQuotaUsage(report.QuotaUsage)
 	lease.TokensExpireAt -= a.ClockOffset
--- a/internal/fleet/agent/allocator.go
+++ b/internal/fleet/agent/allocator.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	// minAllocationGap is how many times as long as an allocation took no other is made in
-	// the same half epoch.
-	minAllocationGap = 5
-	// allocationWait is how long a report waits for an allocation: the node has more to be
-	// answered.
-	allocationWait = 50 * time.Millisecond
+	// minAllocationGapFactor is the minimum time between the starts of two allocations in the same half
+	// epoch, as a multiple of the duration of the first.
+	minAllocationGapFactor = 5
+	// maxAllocationWait limits how long the response to a report is delayed by an allocation, because
+	// the response does not carry the lease alone.
+	maxAllocationWait = 50 * time.Millisecond
 )
 
-// quotaAllocator allocates what the node may use of accounts' limits, as a numbered lease
-// that it passes to the node in parts.
+// quotaAllocator allocates the node's share of the accounts' limits as a numbered lease, and sends the
+// lease to the node in parts.
 type quotaAllocator struct {
 	config account.LeaseConfig
-	jobs   chan allocationJob // holds one at most
-
-	mu               sync.Mutex
-	busy             bool               // an allocation is under way
-	ownUsage         account.Usage      // of this node
-	lastLease        account.QuotaLease // the last that was published
-	leaseNumber      uint64             // its number: when it was allocated, or later; 0 for none
-	evenSharesNumber uint64             // number of the first lease with its even shares
-	reportingMembers int                // members whose usage the last allocation had
-	allocatedAt      time.Duration
-	cost             time.Duration // how long the last allocation took
-	parts            leaseParts
+	jobs   chan allocationJob // at most one is queued
+
+	mu                 sync.Mutex
+	allocating         bool               // an allocation is queued or running
+	ownUsage           account.Usage      // usage of this node
+	lastLease          account.QuotaLease // last published lease
+	leaseNumber        uint64             // number of lastLease: its Unix time in ns or more; 0 for none
+	evenSharesNumber   uint64             // number of the first lease with the even shares of lastLease
+	reportingMembers   int                // members whose usage the last allocation included
+	allocatedAt        time.Duration
+	allocationDuration time.Duration // how long the last allocation took
+	parts              leaseParts
 }
 
-// leaseParts are the parts of a lease as they are passed to the node.
+// leaseParts are the parts of a lease, as they are sent to the node.
 type leaseParts struct {
 	complete          []account.QuotaLease
-	withoutEvenShares []account.QuotaLease // for a node that has these already
+	withoutEvenShares []account.QuotaLease // for a node that already has the even shares
 }
 
-// allocationJob is what one allocation is made of.
+// allocationJob is the input of one allocation.
 type allocationJob struct {
 	now            time.Duration
 	view           replog.View
 	ownUsage       account.Usage
 	usages         []gossip.Usage
 	evenShareBasis account.QuotaLease
-	done           chan struct{} // closed when the lease is published
+	done           chan struct{} // closed after the lease is published
 }
 
-// run makes allocations until ctx ends.
+// run processes allocation jobs until ctx ends.
 func (q *quotaAllocator) run(ctx context.Context, a *Agent) {
 	for {
 		select {
@@ -69,9 +69,9 @@
 	}
 }
 
-// respond adds a part of the lease to the node's answer, if it is news to the node. The lease
-// is allocated once in a half epoch, as the node's own usage of it is reported, and again as
-// that of other members is.
+// respond adds the next part of the lease to the response, if the node lacks one. It first allocates a
+// new lease if that is due: once in each half epoch, again when the node reports its own usage, and again
+// when further members have reported theirs.
 func (q *quotaAllocator) respond(a *Agent, now time.Duration, view replog.View,
 	report *agentapi.Report, response *agentapi.Response) {
 	if view.State == nil || len(view.State.Accounts.Nodes) == 0 && report.LeaseNumber == 0 {
@@ -86,8 +86,8 @@
 	usages := a.Gossip.Usages()
 	halfEpoch := q.halfEpoch(now)
 	reportingMembers := countReporting(usages, halfEpoch)
-	if !q.busy && q.isDue(now, halfEpoch, hasUsage, reportingMembers) {
-		q.busy, q.reportingMembers = true, reportingMembers
+	if !q.allocating && q.isDue(now, halfEpoch, hasUsage, reportingMembers) {
+		q.allocating, q.reportingMembers = true, reportingMembers
 		job := allocationJob{now, view, q.ownUsage, usages, q.evenShareBasis(a), make(chan struct{})}
 		q.jobs <- job
 		q.mu.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// setOwnUsage takes what the node has used, and publishes it to the other members if it is
-// valid.
+// setOwnUsage stores the node's usage and publishes it to the other members. An invalid usage is not
+// published, and is stored as empty. The caller holds the lock.
 func (q *quotaAllocator) setOwnUsage(a *Agent, now time.Duration, usage account.Usage) {
 	usage.Member, usage.ReportedAt = a.Name, now
 	if usage.IsValid() {
@@ -111,10 +111,10 @@
 	q.ownUsage = account.Usage{Member: a.Name, ReportedAt: now}
 }
 
-// halfEpoch returns the number of the half epoch at the time now.
+// halfEpoch returns the number of the half epoch that contains now.
 func (q *quotaAllocator) halfEpoch(now time.Duration) int64 { return int64(now / (q.config.Epoch / 2)) }
 
-// countReporting returns how many members have reported their usage in a half epoch.
+// countReporting returns how many members have reported their usage in the half epoch.
 func countReporting(usages []gossip.Usage, halfEpoch int64) (count int) {
 	for _, u := range usages {
 		if u.HalfEpoch == halfEpoch {
@@ -124,19 +124,21 @@
 	return count
 }
 
-// isDue reports whether to allocate anew. The lock is held.
+// isDue reports whether a new lease has to be allocated. In the second half of an epoch, reports of
+// further members make it due as well, because only then are their reports used. The caller holds the
+// lock.
 func (q *quotaAllocator) isDue(now time.Duration, halfEpoch int64, hasUsage bool, reportingMembers int) bool {
 	if q.leaseNumber == 0 || halfEpoch != q.lastLease.HalfEpoch {
 		return true
 	}
 	isSecondHalf := halfEpoch%2 == 1
 	hasNewUsage := hasUsage || isSecondHalf && reportingMembers > q.reportingMembers
-	return hasNewUsage && now >= q.allocatedAt+minAllocationGap*q.cost
+	return hasNewUsage && now >= q.allocatedAt+minAllocationGapFactor*q.allocationDuration
 }
 
-// wait waits for the job's lease, but not for long.
+// wait waits until the job's lease is published, for at most maxAllocationWait.
 func (j allocationJob) wait() {
-	timer := time.NewTimer(allocationWait)
+	timer := time.NewTimer(maxAllocationWait)
 	defer timer.Stop()
 	select {
 	case <-j.done:
@@ -144,8 +146,8 @@
 	}
 }
 
-// addPart adds the next part of the lease that the node lacks to its answer. A part of the
-// route table goes first. The lock is held.
+// addPart adds the next part of the lease that the node lacks to the response. It adds none while parts
+// of the route table remain to be sent. The caller holds the lock.
 func (q *quotaAllocator) addPart(a *Agent, report *agentapi.Report, response *agentapi.Response) {
 	parts := q.parts.complete
 	if report.CompleteLeaseNumber >= q.evenSharesNumber && report.CompleteLeaseNumber <= q.leaseNumber {
@@ -166,11 +168,11 @@
 	response.More = part+1 < len(parts)
 }
 
-// allocate returns the lease of this half epoch. A member whose log has been out of contact
-// for the holder timeout gets its even share.
+// allocate returns the lease for the half epoch of the job. If the replicated log has been out of
+// contact for the holder timeout, the lease is the node's even share.
 func (q *quotaAllocator) allocate(a *Agent, job allocationJob) (lease account.QuotaLease) {
 	accounts := job.view.State.Accounts
-	if a.lostLog(job.now, job.view, q.config.HolderTimeout) {
+	if a.isLogContactLost(job.now, job.view, q.config.HolderTimeout) {
 		lease = account.AllocateEvenShare(job.now, q.config, accounts, job.ownUsage, job.evenShareBasis)
 	} else {
 		usages := completeUsages(job.usages, accounts, q.halfEpoch(job.now))
@@ -178,7 +180,7 @@
 	}
 	for _, amounts := range []map[string]account.Amounts{lease.Allocated, lease.EvenShares} {
 		maps.DeleteFunc(amounts, func(_ string, amount account.Amounts) bool {
-			return isUnlimited(amount) // to the node, the same as not being named
+			return isUnlimited(amount) // the node treats an unlisted path as unlimited
 		})
 	}
 	return lease
@@ -188,7 +190,7 @@
 	return amount.Connections < 0 && amount.Setups < 0 && amount.Retries < 0 && amount.Probes < 0
 }
 
-// publish passes a lease to the node from now on, if it differs from the last.
+// publish makes lease the one that respond sends to the node, if it differs from the last lease.
 func (q *quotaAllocator) publish(a *Agent, job allocationJob, lease account.QuotaLease) {
 	withoutEvenShares := lease
 	withoutEvenShares.EvenShares = nil
@@ -198,7 +200,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.busy, q.allocatedAt, q.cost = false, job.now, a.Clock()-job.now
+	q.allocating, q.allocatedAt, q.allocationDuration = false, job.now, a.Clock()-job.now
 	last := q.lastLease
 	sameHolders := lease.HolderRank == last.HolderRank && lease.HolderCount == last.HolderCount
 	sameEvenShares := sameHolders && maps.Equal(lease.EvenShares, last.EvenShares)
@@ -213,8 +215,8 @@
 	q.lastLease, q.parts = lease, parts
 }
 
-// evenShareBasis returns the holder's rank and the number of holders for its even share:
-// those of the last lease, if there is one. The lock is held.
+// evenShareBasis returns a lease with the holder rank and count from which the node's even share is
+// computed: those of the last lease, if there is one. The caller holds the lock.
 func (q *quotaAllocator) evenShareBasis(a *Agent) account.QuotaLease {
 	if q.lastLease.HolderCount > 0 {
 		return q.lastLease
--- a/internal/fleet/agent/apiclient_test.go
+++ b/internal/fleet/agent/apiclient_test.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// apiClient is one connection to the agent.
+// apiClient is a client's connection to the agent.
 type apiClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -15,6 +15,7 @@
 
 func newAPIClient(c net.Conn) *apiClient { return &apiClient{c, bufio.NewReader(c)} }
 
+// request sends a line and returns the line with which the agent responds.
 func (c *apiClient) request(line string) (string, error) {
 	if _, err := fmt.Fprintln(c.conn, line); err != nil {
 		return "", err
@@ -22,7 +23,7 @@
 	return c.reader.ReadString('\n')
 }
 
-// pipeListener is a listener without sockets.
+// pipeListener is a net.Listener whose connections are in-memory pipes.
 type pipeListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -30,9 +31,9 @@
 }
 
 func (p *pipeListener) dial() net.Conn {
-	ours, theirs := net.Pipe()
-	p.accepted <- theirs
-	return ours
+	clientConn, agentConn := net.Pipe()
+	p.accepted <- agentConn
+	return clientConn
 }
 
 func (p *pipeListener) Accept() (net.Conn, error) {
--- a/internal/fleet/agent/fakelog_test.go
+++ b/internal/fleet/agent/fakelog_test.go
@@ -12,15 +12,15 @@
 	"coralrelay/internal/fleet/replog"
 )
 
-// fakeLog is a replicated log of one voter without sockets: the real state and rules,
-// committed after 20 ms.
+// fakeLog is an in-memory replicated log with a single voter. It applies entries to a real
+// logentry.State and commits each after 20 ms.
 type fakeLog struct {
 	mu         sync.Mutex
 	view       replog.View
 	changed    chan struct{}
-	blocked    bool // proposals are not decided
-	pending    int  // proposals under way
-	maxPending int  // at once
+	blocked    bool // whether proposals stay undecided until their context ends
+	pending    int  // number of pending proposals
+	maxPending int  // maximum of pending so far
 }
 
 func newFakeLog(t *testing.T, g logentry.Genesis) *fakeLog {
@@ -43,6 +43,7 @@
 	return l.changed
 }
 
+// change updates the view and notifies the receivers of Changed.
 func (l *fakeLog) change(f func(v *replog.View)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/agent/logcontact.go
+++ b/internal/fleet/agent/logcontact.go
@@ -7,10 +7,11 @@
 	"coralrelay/internal/fleet/replog"
 )
 
-// followsLog reports whether the log's zone status holds, as it is within its lease. It logs
-// when that begins or ends.
+// followsLog reports whether the node follows the zone status of the replicated log, which it does while
+// the log is within its lease. Each change is logged, except that a log that is not in contact yet when
+// the agent starts is reported only after one lease.
 func (a *Agent) followsLog(now time.Duration, view replog.View) bool {
-	wasLogged := view.WithinLease != a.loggedStale
+	wasLogged := view.WithinLease != a.loggedContactLost
 	isStarting := !view.WithinLease && now-a.startedAt < a.LogLease
 	if a.Zones == nil || wasLogged || isStarting {
 		return view.WithinLease
@@ -19,13 +20,14 @@
 		slog.Info("zone status follows the replicated log again",
 			"component", component, "index", view.State.Index, "leader", view.Leader)
 	} else {
-		logStaleZones(view)
+		logContactLost(view)
 	}
-	a.loggedStale = !view.WithinLease
+	a.loggedContactLost = !view.WithinLease
 	return view.WithinLease
 }
 
-func logStaleZones(view replog.View) {
+// logContactLost logs that the replicated log is out of its lease.
+func logContactLost(view replog.View) {
 	index, lastContact := uint64(0), "never"
 	if view.State != nil {
 		index = view.State.Index
@@ -37,8 +39,9 @@
 		"component", component, "index", index, "last_contact", lastContact)
 }
 
-// lostLog reports whether the log has been out of contact for the timeout.
-func (a *Agent) lostLog(now time.Duration, view replog.View, timeout time.Duration) bool {
+// isLogContactLost reports whether the replicated log has been out of contact for at least timeout. If it
+// has never been in contact, the time since the agent's start counts.
+func (a *Agent) isLogContactLost(now time.Duration, view replog.View, timeout time.Duration) bool {
 	switch {
 	case view.WithinLease:
 		return false
--- a/internal/fleet/agent/objectives.go
+++ b/internal/fleet/agent/objectives.go
@@ -11,47 +11,47 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// SLOOptions say how an agent takes part in keeping contracts on response times.
+// SLOOptions configure how an agent evaluates and enforces contracts on response times.
 type SLOOptions struct {
 	Config slo.Config
-	// TimeScale is how many times faster the Config's time passes; 1 but for rehearsals.
+	// TimeScale is how many times faster than real time the time of Config passes; 1 except in rehearsals.
 	TimeScale int
-	// ScaledTime returns the Config's time at a Unix time.
+	// ScaledTime converts Unix time to the time of Config.
 	ScaledTime func(unix time.Duration) time.Duration
-	Zones      zonestatus.Config // regions, and the capacity of a warm endpoint
-	Voters     []string          // members that may lead
-	Guards     slo.Guards        // guards that a mutation disables
+	Zones      zonestatus.Config // defines the regions and the capacity of an endpoint
+	Voters     []string          // names of the members that may lead
+	Guards     slo.Guards        // guards that a mutation test disables
 }
 
-// noContractsVersion is the version of contracts that were not set yet.
+// noContractsVersion is the contracts version of an aggregator whose contracts have not been set.
 const noContractsVersion = math.MaxUint64
 
-// objectiveKeeper is one agent's part in keeping objectives. Every member sends the latency
-// samples of its node to the voters; each of these aggregates them, the leader acts on them.
-type objectiveKeeper struct {
+// objectiveManager evaluates the objectives for one agent. Every member sends the latency samples of its
+// node to all voters. Each voter aggregates them, and the leader proposes changes based on them.
+type objectiveManager struct {
 	SLOOptions
 	name, zone string
 	send       func(member string, message []byte) error
-	queues     map[string]chan []byte // samples for each other voter
+	queues     map[string]chan []byte // encoded samples to send, by voter; none for this member
 
 	mu          sync.Mutex
-	aggregator  *slo.Aggregator   // nil for a member that never leads
-	memberZones map[string]string // the zone of each present member
+	aggregator  *slo.Aggregator   // nil if this member is not a voter
+	memberZones map[string]string // zone of each member that has not left, by member
 
 	// Owned by the agent's Run.
 	controller       *slo.Controller
-	observations     []slo.Observation // not evaluated yet
-	intervals        []intervalCounts  // the last ones, the oldest first
-	contractsVersion uint64            // of the contracts that the aggregator has
-	regionNames      []string          // of the regions that it has
-	evaluatedAt      time.Duration     // in the Config's time
-	zonesVersion     uint64            // version of the zones' status at the last evaluation
-	proposalSlot     chan struct{}     // holds one while an evaluation or a proposal is under way
-	proposedIndex    uint64            // index of the last proposal; guarded by the proposalSlot
+	observations     []slo.Observation // observations not evaluated yet
+	intervals        []intervalCounts  // latest intervals, oldest first
+	contractsVersion uint64            // version of the contracts set at the aggregator
+	regionNames      []string          // names of the regions set at the aggregator
+	evaluatedAt      time.Duration     // last evaluation, in the time of Config
+	zonesVersion     uint64            // version of the zone statuses at the last evaluation
+	proposalSlot     chan struct{}     // holds a value during an evaluation and its proposal
+	proposedIndex    uint64            // log index of the last proposal; guarded by proposalSlot
 }
 
-func newObjectiveKeeper(options Options) *objectiveKeeper {
-	k := &objectiveKeeper{
+func newObjectiveManager(options Options) *objectiveManager {
+	o := &objectiveManager{
 		SLOOptions:       *options.SLO,
 		name:             options.Name,
 		zone:             options.Zone,
@@ -60,43 +60,44 @@
 		proposalSlot:     make(chan struct{}, 1),
 		contractsVersion: noContractsVersion,
 	}
-	for _, voter := range k.Voters {
-		if voter == k.name {
-			k.aggregator = slo.NewAggregator(k.Config)
-			k.controller = slo.NewController(k.Config)
-			k.controller.DisabledGuards = k.Guards
+	for _, voter := range o.Voters {
+		if voter == o.name {
+			o.aggregator = slo.NewAggregator(o.Config)
+			o.controller = slo.NewController(o.Config)
+			o.controller.DisabledGuards = o.Guards
 			continue
 		}
-		k.queues[voter] = make(chan []byte, maxQueuedSamples)
+		o.queues[voter] = make(chan []byte, maxQueuedSamples)
 	}
-	options.Gossip.OnMessage = func(raw []byte) { k.receiveSample(options.Clock(), raw) }
-	return k
+	options.Gossip.OnMessage = func(raw []byte) { o.receiveSample(options.Clock(), raw) }
+	return o
 }
 
-// closeIntervals takes the observations of the intervals that are over.
-func (k *objectiveKeeper) closeIntervals(now time.Duration, contracts slo.State, regions []slo.Region,
+// closeIntervals collects the observations of the intervals that have ended. It first updates the
+// aggregator's contracts and regions if they have changed.
+func (o *objectiveManager) closeIntervals(now time.Duration, contracts slo.State, regions []slo.Region,
 	members []zonestatus.Member) {
 	var regionNames []string
 	for _, r := range regions {
 		regionNames = append(regionNames, r.Name)
 	}
-	k.mu.Lock()
-	k.memberZones = map[string]string{k.name: k.zone}
+	o.mu.Lock()
+	o.memberZones = map[string]string{o.name: o.zone}
 	for _, m := range members {
-		k.memberZones[m.Name] = m.Zone
+		o.memberZones[m.Name] = m.Zone
 	}
-	if contracts.Version != k.contractsVersion || !slices.Equal(regionNames, k.regionNames) {
-		k.aggregator.SetContracts(contracts, regions)
-		k.contractsVersion, k.regionNames = contracts.Version, regionNames
+	if contracts.Version != o.contractsVersion || !slices.Equal(regionNames, o.regionNames) {
+		o.aggregator.SetContracts(contracts, regions)
+		o.contractsVersion, o.regionNames = contracts.Version, regionNames
 	}
-	observations := k.aggregator.CloseIntervals(k.ScaledTime(now))
-	k.mu.Unlock()
-	k.countSetups(now, observations)
-	k.observations = append(k.observations, observations...)
+	observations := o.aggregator.CloseIntervals(o.ScaledTime(now))
+	o.mu.Unlock()
+	o.countSetups(now, observations)
+	o.observations = append(o.observations, observations...)
 }
 
-// exchangeObjectives takes the node's samples, and answers with the contracts if the node
-// measures by others.
+// exchangeObjectives queues the node's samples for the voters. It adds the contracts to the response if
+// the node has another version of them.
 func (a *Agent) exchangeObjectives(report *agentapi.Report, response *agentapi.Response) {
 	if a.objectives == nil || a.Log == nil {
 		return
--- a/internal/fleet/agent/objectives_leader.go
+++ b/internal/fleet/agent/objectives_leader.go
@@ -10,71 +10,73 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// evaluateObjectives takes what was measured; the leader proposes how traffic is allocated.
-// How often a contract's traffic may move is the controller's own matter.
+// evaluateObjectives evaluates the latest observations. On the leader, it proposes a new allocation of
+// traffic if the controller decides on one. The controller itself limits how often it moves a contract's
+// traffic, so evaluateObjectives does not.
 func (a *Agent) evaluateObjectives(ctx context.Context, now time.Duration, view replog.View, isLeader bool,
 	goroutines *sync.WaitGroup) {
-	keeper := a.objectives
-	if keeper == nil || keeper.aggregator == nil || view.State == nil {
+	manager := a.objectives
+	if manager == nil || manager.aggregator == nil || view.State == nil {
 		return
 	}
 	contracts, members := view.State.Contracts, a.presentMembers()
-	regions := keeper.regions(view.State.Zones, a.Gossip.ZoneReports(), members)
-	keeper.closeIntervals(now, contracts, regions, members)
+	regions := manager.regions(view.State.Zones, a.Gossip.ZoneReports(), members)
+	manager.closeIntervals(now, contracts, regions, members)
 	if !isLeader {
-		keeper.controller.Observe(contracts, keeper.observations)
-		keeper.observations = nil
+		manager.controller.Observe(contracts, manager.observations)
+		manager.observations = nil
 		return
 	}
-	scaledNow := keeper.ScaledTime(now)
-	if len(contracts.Contracts) == 0 || !keeper.isEvaluationDue(scaledNow, view.State.Zones.Version) {
+	scaledNow := manager.ScaledTime(now)
+	if len(contracts.Contracts) == 0 || !manager.isEvaluationDue(scaledNow, view.State.Zones.Version) {
 		return
 	}
-	if !keeper.acquireProposalSlot(view.State.Index) {
+	if !manager.acquireProposalSlot(view.State.Index) {
 		return
 	}
-	change, reason, due := keeper.evaluate(scaledNow, view, regions)
+	change, reason, due := manager.evaluate(scaledNow, view, regions)
 	if !due {
-		<-keeper.proposalSlot
+		<-manager.proposalSlot
 		return
 	}
 	goroutines.Go(func() {
-		defer func() { <-keeper.proposalSlot }()
+		defer func() { <-manager.proposalSlot }()
 		index := a.propose(ctx, logentry.KindContracts, scaledNow, change, reason)
-		keeper.proposedIndex = max(keeper.proposedIndex, index)
+		manager.proposedIndex = max(manager.proposedIndex, index)
 	})
 }
 
-// isEvaluationDue reports whether to evaluate now: once for each interval, when the clock
-// was set back, and at once when the zones' status has changed.
-func (k *objectiveKeeper) isEvaluationDue(scaledNow time.Duration, zonesVersion uint64) bool {
-	intervalOver := scaledNow-k.evaluatedAt >= k.Config.SampleInterval
-	clockSetBack := scaledNow < k.evaluatedAt
-	return intervalOver || clockSetBack || zonesVersion != k.zonesVersion
+// isEvaluationDue reports whether the leader has to evaluate now: after each sample interval, and at once
+// if the clock was set back or the zone statuses have changed.
+func (o *objectiveManager) isEvaluationDue(scaledNow time.Duration, zonesVersion uint64) bool {
+	intervalOver := scaledNow-o.evaluatedAt >= o.Config.SampleInterval
+	clockSetBack := scaledNow < o.evaluatedAt
+	return intervalOver || clockSetBack || zonesVersion != o.zonesVersion
 }
 
-// acquireProposalSlot reports whether an evaluation may begin: not before the last proposal
-// is decided and this member's log, at index, has its entry. The slot is the caller's then.
-func (k *objectiveKeeper) acquireProposalSlot(index uint64) bool {
+// acquireProposalSlot reports whether an evaluation may start, and acquires the proposal slot for the
+// caller if so. It may start after the last proposal is decided and its entry is in this member's log,
+// whose last index is index.
+func (o *objectiveManager) acquireProposalSlot(index uint64) bool {
 	select {
-	case k.proposalSlot <- struct{}{}:
+	case o.proposalSlot <- struct{}{}:
 	default:
 		return false
 	}
-	if index < k.proposedIndex {
-		<-k.proposalSlot
+	if index < o.proposedIndex {
+		<-o.proposalSlot
 		return false
 	}
 	return true
 }
 
-// evaluate returns the change that the controller decides on, if one is due.
-func (k *objectiveKeeper) evaluate(scaledNow time.Duration, view replog.View,
+// evaluate returns the change on which the controller decides; due is false if there is none.
+func (o *objectiveManager) evaluate(scaledNow time.Duration, view replog.View,
 	regions []slo.Region) (change slo.Change, reason string, due bool) {
-	change, reason, due = k.controller.Evaluate(scaledNow, view.State.Contracts, k.observations, regions,
-		k.setupRates().byContract)
-	k.observations = nil
-	k.evaluatedAt = scaledNow
-	k.zonesVersion = view.State.Zones.Version
+	change, reason, due = o.controller.Evaluate(scaledNow, view.State.Contracts, o.observations, regions,
+		o.setupRates().byContract)
+	o.observations = nil
+	o.evaluatedAt = scaledNow
+	o.zonesVersion = view.State.Zones.Version
 	return change, reason, due
 }
--- a/internal/fleet/agent/objectives_test.go
+++ b/internal/fleet/agent/objectives_test.go
@@ -9,10 +9,10 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// newTestKeeper returns the objective keeper of the voter n1 in zone a, without queues.
-func newTestKeeper(zones zonestatus.Config) *objectiveKeeper {
+// newTestManager returns the objectiveManager of the voter n1 in zone a, without other voters.
+func newTestManager(zones zonestatus.Config) *objectiveManager {
 	config := slo.DefaultConfig()
-	return &objectiveKeeper{
+	return &objectiveManager{
 		SLOOptions: SLOOptions{
 			Config:     config,
 			TimeScale:  1,
@@ -26,8 +26,8 @@
 	}
 }
 
-// Regions combine what all members observe, within the limits of the zones' status; a member
-// that reports too much changes nothing, nor does one that has left.
+// Regions combine the observations of all members, within the limits of the zone statuses. Neither a
+// member that reports too high values nor one that is not alive changes the result.
 func TestRegionsCombineMembersReports(t *testing.T) {
 	zones := zonestatus.DefaultConfig()
 	zones.Regions = map[string][]string{"south": {"b", "c"}}
@@ -46,10 +46,10 @@
 		{From: "a", To: "b", Status: zonestatus.Evacuated}, {From: "b", To: "a", Share: 0.5}}}
 	want := []slo.Region{
 		{Name: "a", UsableFraction: 0.5, Capacity: 20, OtherTraffic: 8, Load: 0.4},
-		// Its other traffic is below a tenth of its capacity.
+		// OtherTraffic is 0, because it would be below a tenth of the capacity.
 		{Name: "south", UsableFraction: 6.0 / 26, Capacity: 26, Load: 0.4 * 6 / 26},
 	}
-	got := newTestKeeper(zones).regions(state, reports, members)
+	got := newTestManager(zones).regions(state, reports, members)
 	if len(got) != len(want) {
 		t.Fatalf("%+v, want %+v", got, want)
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// A sample counts if its member is present and in the zone that the sample says, and once.
+// A sample counts once, and only if its member is in the fleet and in the sample's zone.
 func TestSamplesCountOnlyFromTheMembersZone(t *testing.T) {
 	const startedAt = 1000 * time.Hour
 	interval := slo.DefaultConfig().SampleInterval
@@ -83,14 +83,14 @@
 		"unknown":   {nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newTestKeeper(zonestatus.Config{})
-			k.closeIntervals(startedAt+interval, contracts, regions, tt.members)
-			k.merge(startedAt+interval, *sample)
-			k.merge(startedAt+interval, *sample)
-			k.closeIntervals(startedAt+3*interval, contracts, regions, tt.members)
-			rates := k.setupRates().byContract
-			if len(k.observations) != tt.want || tt.want > 0 && rates["gold"] != 0.2 {
-				t.Errorf("%+v, set-up rates %v", k.observations, rates)
+			o := newTestManager(zonestatus.Config{})
+			o.closeIntervals(startedAt+interval, contracts, regions, tt.members)
+			o.merge(startedAt+interval, *sample)
+			o.merge(startedAt+interval, *sample)
+			o.closeIntervals(startedAt+3*interval, contracts, regions, tt.members)
+			rates := o.setupRates().byContract
+			if len(o.observations) != tt.want || tt.want > 0 && rates["gold"] != 0.2 {
+				t.Errorf("%+v, set-up rates %v", o.observations, rates)
 			}
 		})
 	}
--- a/internal/fleet/agent/operator.go
+++ b/internal/fleet/agent/operator.go
@@ -12,26 +12,26 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// The methods of an operator's request. The words are on the wire and stay.
+// The methods of an operator's request. The values are part of the protocol and must not change.
 const (
-	methodState   = "state"   // what this member knows, for people
-	methodRecord  = "record"  // all of the replicated log's state
-	methodCheck   = "check"   // whether an entry would be accepted now
-	methodPropose = "propose" // have an entry appended
+	methodState    = "state"   // state of this member, for display
+	methodLogState = "record"  // complete state of the replicated log
+	methodCheck    = "check"   // whether an entry would be accepted in the current state
+	methodPropose  = "propose" // propose an entry to the replicated log
 )
 
-// ProposalOutcome answers the methods "check" and "propose".
+// ProposalOutcome is the response to the methods "check" and "propose".
 type ProposalOutcome struct {
 	Outcome logentry.Outcome `json:"outcome"`
 }
 
-// HandleOperator answers an operator's request: an agentapi.State to "state", the
-// *logentry.State to "record", and a ProposalOutcome to "check" and "propose".
+// HandleOperator returns the response to an operator's request: an agentapi.State for the method
+// "state", the *logentry.State for "record", and a ProposalOutcome for "check" and "propose".
 func (a *Agent) HandleOperator(ctx context.Context, request agentapi.OperatorRequest) (any, error) {
 	switch request.Method {
 	case methodState:
 		return a.State(), nil
-	case methodRecord, methodCheck, methodPropose:
+	case methodLogState, methodCheck, methodPropose:
 		if a.Log == nil {
 			return nil, fmt.Errorf("fleet.record: %s", a.NoLogReason)
 		}
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("ask: %.40q is none of state, record, check, propose", request.Method)
 	}
 	state := a.Log.View().State
-	if request.Method == methodRecord {
+	if request.Method == methodLogState {
 		return state, nil
 	}
 	entry, err := decodeOperatorEntry(request.Entry)
@@ -53,7 +53,7 @@
 	return checkEntry(state, entry)
 }
 
-// proposeForOperator proposes an operator's entry. The outcome is returned beside the error.
+// proposeForOperator proposes an operator's entry. It returns the outcome even if there is an error.
 func (a *Agent) proposeForOperator(ctx context.Context, entry logentry.Entry) (any, error) {
 	outcome, err := a.Log.Propose(ctx, entry)
 	if errors.Is(err, replog.ErrOutcomeUnknown) {
@@ -62,7 +62,7 @@
 	return ProposalOutcome{outcome}, err
 }
 
-// checkEntry returns what would become of an entry now.
+// checkEntry returns the outcome that an entry would have in the given state.
 func checkEntry(state *logentry.State, entry logentry.Entry) (any, error) {
 	raw, err := json.Marshal(entry)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return ProposalOutcome{outcome}, nil
 }
 
-// decodeOperatorEntry decodes an entry that an operator may propose.
+// decodeOperatorEntry decodes an entry and checks that an operator may propose it.
 func decodeOperatorEntry(raw json.RawMessage) (entry logentry.Entry, err error) {
 	if len(raw) > logentry.MaxSize {
 		return entry, fmt.Errorf("entry: %d bytes, at most %d are taken", len(raw), logentry.MaxSize)
@@ -86,9 +86,9 @@
 	return entry, checkOperatorEntry(&entry)
 }
 
-// checkOperatorEntry returns an error for an entry that can't be an operator's. The status of
-// zones and the allocations of contracts are the leader's own decisions, which never come by
-// a port: whoever reaches it could have the fleet evacuate a zone.
+// checkOperatorEntry returns an error if an operator may not propose the entry. Zone statuses and the
+// allocations of contracts are decided by the leader alone and are never accepted on the API's port:
+// otherwise, any client that can connect to it could make the fleet evacuate a zone.
 func checkOperatorEntry(entry *logentry.Entry) error {
 	switch {
 	case entry.Kind == logentry.KindZones:
--- a/internal/fleet/agent/proposal.go
+++ b/internal/fleet/agent/proposal.go
@@ -9,11 +9,11 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// proposalTimeout is how long a proposal may take. After as long, a controller decides anew.
+// proposalTimeout limits how long a proposal may take. After it, the controller evaluates again.
 const proposalTimeout = time.Second
 
-// propose proposes a change that is the fleet's own decision, logs what became of it and
-// returns its index in the log; 0 if it has none. It waits for proposalTimeout at most.
+// propose proposes a change that a controller has decided, logs the outcome and returns the index of its
+// entry in the replicated log, or 0 if it has none. It blocks for at most proposalTimeout.
 func (a *Agent) propose(ctx context.Context, kind logentry.Kind, at time.Duration, change any, reason string) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
--- a/internal/fleet/agent/routetables.go
+++ b/internal/fleet/agent/routetables.go
@@ -12,45 +12,48 @@
 )
 
 const (
-	// maxKeptTables are kept, so that a node that has one of them is sent the changes only.
-	maxKeptTables = 4
-	// endpointChangeInterval is the least time between two tables that differ only in the
-	// number of ready endpoints.
+	// maxRecentTables is the number of tables that are kept. A node that has one of them is sent only
+	// the changes since that table.
+	maxRecentTables = 4
+	// endpointChangeInterval is the minimum time between two tables that differ only in the number of
+	// ready endpoints.
 	endpointChangeInterval = 2 * time.Second
 )
 
-// routeTables are the route tables for the node. A table's index is the time at which it was
-// built, so that it is new after each change and after each start of the agent.
+// routeTables builds the node's route table and keeps the recent ones. The index of a table is the Unix
+// time in ns at which it was built, or more, so it increases with each change and with each restart of
+// the agent.
 type routeTables struct {
 	mu             sync.Mutex
-	kept           []routeupdate.Update // the last few, complete, the latest last
-	versions       tableVersions        // of the latest
-	builtAt        time.Duration        // the latest
-	readyEndpoints map[string]int       // by zone, as the node reports
+	recent         []routeupdate.Update // complete tables, the latest last
+	versions       tableVersions        // versions of the latest table
+	builtAt        time.Duration        // time at which the latest table was built
+	readyEndpoints map[string]int       // number by zone, as the node reports them
 	nodeHasTable   bool
-	update         tableUpdate // the last that was cut into parts
+	update         tableUpdate // last update that was split into parts
 }
 
-// tableVersions are the versions of the log's state that a table is built of.
+// tableVersions are the versions of the parts of the replicated state from which a table is built.
 type tableVersions struct {
 	accounts, contracts, allocations uint64
 }
 
-// tableUpdate is what leads from one table to another, in parts.
+// tableUpdate is the update from one table to another, split into parts.
 type tableUpdate struct {
 	baseIndex, index uint64 // baseIndex is 0 for a complete table
 	parts            []routeupdate.Update
 }
 
-// latest returns the latest table, with index 0 if there is none. The lock is held.
+// latest returns the latest table, or one with index 0 if there is none. The caller holds the lock.
 func (t *routeTables) latest() routeupdate.Update {
-	if len(t.kept) == 0 {
+	if len(t.recent) == 0 {
 		return routeupdate.Update{}
 	}
-	return t.kept[len(t.kept)-1]
+	return t.recent[len(t.recent)-1]
 }
 
-// updateNodeState takes how many endpoints the node has in each zone, and which table.
+// updateNodeState records, from the node's report, its number of endpoints in each zone and whether it
+// has a route table.
 func (t *routeTables) updateNodeState(report *agentapi.Report) {
 	ready := map[string]int{}
 	for _, server := range report.Servers {
@@ -64,7 +67,7 @@
 	}
 }
 
-// rebuild builds a new table if the log's state asks for it. Only Run calls it.
+// rebuild builds a new table if the state of the replicated log requires one. Only Run calls it.
 func (t *routeTables) rebuild(now time.Duration, state *logentry.State) {
 	if state == nil {
 		return
@@ -85,19 +88,20 @@
 	table := snapshot.Build(index, state.Accounts, state.Contracts, state.Genesis.Zones.Regions, ready)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.kept) == maxKeptTables {
-		t.kept = t.kept[1:]
+	if len(t.recent) == maxRecentTables {
+		t.recent = t.recent[1:]
 	}
-	t.kept = append(t.kept[:len(t.kept):len(t.kept)], table) // a new array, which frees the dropped one
+	// The full slice expression makes append copy to a new array, so that the dropped table is freed.
+	t.recent = append(t.recent[:len(t.recent):len(t.recent)], table)
 	t.versions, t.builtAt = versions, now
 }
 
-// isRebuildNeeded reports whether the latest table does not do any more. The lock is held.
+// isRebuildNeeded reports whether the latest table is out of date. The caller holds the lock.
 func (t *routeTables) isRebuildNeeded(now time.Duration, state *logentry.State, versions tableVersions) bool {
 	latest := t.latest()
 	hasTable := latest.Index != 0
 	if len(state.Accounts.Routes) == 0 && len(latest.Set) == 0 && (hasTable || !t.nodeHasTable) {
-		return false // there were no routes, and there are none
+		return false // there are no routes, and there is no table with routes to replace
 	}
 	if versions != t.versions || !hasTable {
 		return true
@@ -106,15 +110,15 @@
 	return !sameEndpoints && now >= t.builtAt+endpointChangeInterval
 }
 
-// respond adds a part of the latest table to the node's answer, if the node does not have it.
+// respond adds the next part of the latest table to the response, if the node does not have this table.
 func (t *routeTables) respond(report *agentapi.Report, response *agentapi.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	latest := t.latest()
-	if len(t.kept) == 0 || latest.Index == report.TableIndex {
+	if len(t.recent) == 0 || latest.Index == report.TableIndex {
 		return
 	}
-	t.cutUpdate(latest, report.TableIndex)
+	t.splitUpdate(latest, report.TableIndex)
 	part := 0
 	if report.PartialTableIndex == latest.Index && report.TablePartsReceived < len(t.update.parts) {
 		part = report.TablePartsReceived
@@ -124,13 +128,14 @@
 	response.More = part+1 < response.TableParts
 }
 
-// cutUpdate cuts what leads from the node's table, or from none if it is not kept any more,
-// to the latest into parts, unless that was done before. The lock is held.
-func (t *routeTables) cutUpdate(latest routeupdate.Update, nodeTableIndex uint64) {
+// splitUpdate sets t.update to the update from the node's table to the latest one, unless it is set
+// already. If the node has no table, or one that is no longer kept, the update is the complete latest
+// table. The caller holds the lock.
+func (t *routeTables) splitUpdate(latest routeupdate.Update, nodeTableIndex uint64) {
 	var base *routeupdate.Update
-	for i := range t.kept {
-		if t.kept[i].Index == nodeTableIndex {
-			base = &t.kept[i]
+	for i := range t.recent {
+		if t.recent[i].Index == nodeTableIndex {
+			base = &t.recent[i]
 		}
 	}
 	baseIndex := uint64(0)
--- a/internal/fleet/agent/setuprates.go
+++ b/internal/fleet/agent/setuprates.go
@@ -7,47 +7,48 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// intervalCounts is how many connection set-ups were counted in an interval that is over.
+// intervalCounts are the numbers of session set-ups in an interval that has ended.
 type intervalCounts struct {
-	interval             int64 // its number
+	interval             int64 // number of the interval
 	byContract, byRegion map[string]float64
 }
 
-// setupRates are connection set-ups a second, of the Config's seconds.
+// setupRates are session set-ups a second, in the time of Config.
 type setupRates struct {
 	byContract, byRegion map[string]float64
 }
 
-// countSetups adds up the observations. An interval in which nobody measured anything counts
-// as well, once a later one has come.
-func (k *objectiveKeeper) countSetups(now time.Duration, observations []slo.Observation) {
+// countSetups adds the observations to the counts of their intervals, and drops the counts of intervals
+// that are too old. An interval without any observation counts as one without set-ups as soon as a later
+// interval has observations.
+func (o *objectiveManager) countSetups(now time.Duration, observations []slo.Observation) {
 	for _, observation := range observations {
-		if n := len(k.intervals); n == 0 || k.intervals[n-1].interval < observation.Interval {
-			k.intervals = append(k.intervals, intervalCounts{
+		if n := len(o.intervals); n == 0 || o.intervals[n-1].interval < observation.Interval {
+			o.intervals = append(o.intervals, intervalCounts{
 				interval:   observation.Interval,
 				byContract: map[string]float64{},
 				byRegion:   map[string]float64{},
 			})
 		}
-		counts := &k.intervals[len(k.intervals)-1]
+		counts := &o.intervals[len(o.intervals)-1]
 		setups := float64(observation.Histogram.Count())
 		counts.byContract[observation.Contract] += setups
 		counts.byRegion[observation.Region] += setups
 	}
-	last := int64((k.ScaledTime(now)-k.Config.LateSampleTimeout)/k.Config.SampleInterval) - 1
-	oldest := last - int64(k.Config.EvidenceIntervals)
-	k.intervals = slices.DeleteFunc(k.intervals, func(counts intervalCounts) bool { return counts.interval <= oldest })
+	last := int64((o.ScaledTime(now)-o.Config.LateSampleTimeout)/o.Config.SampleInterval) - 1
+	oldest := last - int64(o.Config.EvidenceIntervals)
+	o.intervals = slices.DeleteFunc(o.intervals, func(counts intervalCounts) bool { return counts.interval <= oldest })
 }
 
-// setupRates returns the rates over the intervals that are kept.
-func (k *objectiveKeeper) setupRates() setupRates {
+// setupRates returns the mean rates over the intervals that are kept.
+func (o *objectiveManager) setupRates() setupRates {
 	rates := setupRates{byContract: map[string]float64{}, byRegion: map[string]float64{}}
-	if len(k.intervals) == 0 {
+	if len(o.intervals) == 0 {
 		return rates
 	}
-	first, last := k.intervals[0].interval, k.intervals[len(k.intervals)-1].interval
-	seconds := float64(last-first+1) * k.Config.SampleInterval.Seconds()
-	for _, counts := range k.intervals {
+	first, last := o.intervals[0].interval, o.intervals[len(o.intervals)-1].interval
+	seconds := float64(last-first+1) * o.Config.SampleInterval.Seconds()
+	for _, counts := range o.intervals {
 		for name, n := range counts.byContract {
 			rates.byContract[name] += n / seconds
 		}
--- a/internal/fleet/agent/state.go
+++ b/internal/fleet/agent/state.go
@@ -7,7 +7,7 @@
 	"coralrelay/internal/fleet/agentapi"
 )
 
-// State returns what this member knows, and the decision that its node is sent.
+// State returns this member's view of the fleet, and the decision that it sends to its node.
 func (a *Agent) State() agentapi.State {
 	state := agentapi.State{
 		Name:              a.Name,
@@ -36,7 +36,7 @@
 	return state
 }
 
-// addLogState adds the replica's role and the zones' status in the log.
+// addLogState adds the replica's role and contact, and the zone statuses in the replicated log.
 func (a *Agent) addLogState(state *agentapi.State) {
 	view := a.Log.View()
 	state.Role = view.Role
@@ -67,7 +67,7 @@
 	}
 }
 
-// addDecision adds the limits of traffic into zones that the node is sent.
+// addDecision adds the traffic limits and the rejected share that are sent to the node.
 func (a *Agent) addDecision(state *agentapi.State) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/agent/stored_test.go
+++ b/internal/fleet/agent/stored_test.go
@@ -10,7 +10,7 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// What 'coralctl' reads as the answer to the methods "propose" and "check". The file was
+// The response to the methods "propose" and "check", which 'coralctl' decodes. The stored file was
 // written by the code of commit 011f0a6 with
 //
 //	go test ./internal/fleet/agent -run TestStored -update
@@ -19,7 +19,7 @@
 	storedtest.AssertJSON(t, "outcome.json", ProposalOutcome{outcome})
 }
 
-// The words that the answer to the method "state" has for the status of zones and of members.
+// The names of zone statuses and member statuses in the response to the method "state".
 func TestStatusWordsInOperatorAnswers(t *testing.T) {
 	got := fmt.Sprint(zonestatus.Active, zonestatus.Suspect, zonestatus.Evacuating, zonestatus.Evacuated,
 		zonestatus.Recovering, zonestatus.HeldBack, quota.Alive, quota.Failed, quota.Left)
--- a/internal/fleet/agent/transcript_test.go
+++ b/internal/fleet/agent/transcript_test.go
@@ -13,12 +13,13 @@
 	"coralrelay/internal/fleet/replog"
 )
 
-// play runs a script for so long: members report at 25 ms after each tenth of a second, the
-// node at 50 ms, and operators ask at 75 ms. Of the node's exchange those lines are written
-// that change its limits of traffic into zones.
-func (w *testFleet) play(t *testing.T, ctx context.Context, end time.Duration, script map[time.Duration]func()) {
+// runScript runs the agent and the events of script, by their time since the start, until end. In each
+// evaluation interval the other members report after 25 ms, the node after 50 ms, and operators send
+// their requests after 75 ms. The transcript contains a report of the node and its response only if the
+// response changes the zones' traffic limits.
+func (f *testFleet) runScript(t *testing.T, ctx context.Context, end time.Duration, script map[time.Duration]func()) {
 	const pause = 25 * time.Millisecond
-	done := w.run(ctx)
+	done := f.run(ctx)
 	lastZones := ""
 	for seq := range int(end / evaluationInterval) {
 		at := time.Duration(seq) * evaluationInterval
@@ -26,16 +27,16 @@
 			event()
 		}
 		time.Sleep(pause)
-		w.receiveReports(seq + 1)
+		f.receiveReports(seq + 1)
 		time.Sleep(pause)
-		response, reportLine, responseLine := w.pollAgent(t, agentapi.Report{QuotaUsage: w.quotaUsage()})
-		w.halfEpoch = response.Period
+		response, reportLine, responseLine := f.pollAgent(t, agentapi.Report{QuotaUsage: f.quotaUsage()})
+		f.halfEpoch = response.Period
 		if zones, err := json.Marshal(response.Zones); err != nil || string(zones) != lastZones {
 			if seq > 0 {
 				reportLine = "..."
 			}
-			w.writeTranscript("node", "%s", reportLine)
-			w.writeTranscript("agent", "%s", responseLine)
+			f.writeTranscript("node", "%s", reportLine)
+			f.writeTranscript("agent", "%s", responseLine)
 			lastZones = string(zones)
 		}
 		time.Sleep(pause)
@@ -47,27 +48,27 @@
 	<-done
 }
 
-// operatorOffset is when operators ask, after each evaluation interval of a script.
+// operatorOffset is the time from the start of an evaluation interval to the operators' requests in it.
 const operatorOffset = 75 * time.Millisecond
 
-// A zone fails, is evacuated by the replicated log and recovers; meanwhile the log is out of
-// contact for a while, and operators ask.
+// A zone fails, is evacuated by the replicated log and recovers. During this time the log is out of
+// contact for a while, and operators send requests.
 func TestZoneEvacuationAndRecoveryTranscript(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const end = 9 * time.Second
 		ctx, cancel := context.WithTimeout(t.Context(), end-10*time.Millisecond)
 		defer cancel()
-		w := newTestFleet(t, ctx)
+		fleet := newTestFleet(t, ctx)
 		operator := func(line string) func() {
 			return func() {
-				w.writeTranscript("operator", "%s", line)
-				w.askAsOperator(t, line)
+				fleet.writeTranscript("operator", "%s", line)
+				fleet.askAsOperator(t, line)
 			}
 		}
 		setContact := func(inContact bool) func() {
 			return func() {
-				w.writeTranscript("record", "%s", map[bool]string{true: "is heard", false: "is not heard any more"}[inContact])
-				w.log.change(func(v *replog.View) {
+				fleet.writeTranscript("record", "%s", map[bool]string{true: "is heard", false: "is not heard any more"}[inContact])
+				fleet.log.change(func(v *replog.View) {
 					v.WithinLease = inContact
 					if inContact {
 						v.ConfirmedAt = time.Now()
@@ -77,13 +78,13 @@
 		}
 		setFailures := func(share float64) func() {
 			return func() {
-				w.writeTranscript("zone c", "%.0f %% of all attempts fail", 100*share)
-				w.failureShare["c"] = share
+				fleet.writeTranscript("zone c", "%.0f %% of all attempts fail", 100*share)
+				fleet.failureShare["c"] = share
 			}
 		}
 		const settingsEntry = `{"kind":"settings","by":"","at":0,"body":{}}`
 		const zonesEntry = `{"kind":"zones","by":"","at":0,"body":{"base":7,"set":[],"zones":["a"]}}`
-		w.play(t, ctx, end, map[time.Duration]func(){
+		fleet.runScript(t, ctx, end, map[time.Duration]func(){
 			0:                                      setContact(true),
 			500 * time.Millisecond:                 setFailures(1),
 			time.Second + operatorOffset:           operator(`{"ask":"explain"}`),
@@ -96,24 +97,24 @@
 			2500 * time.Millisecond:                setFailures(0),
 			3 * time.Second:                        setContact(true),
 		})
-		goldie.New(t).Assert(t, "exchange", w.transcript.Bytes())
+		goldie.New(t).Assert(t, "exchange", fleet.transcript.Bytes())
 	})
 }
 
-// A proposal that is not decided is the only one under way, and holds up nothing.
+// While a proposal stays undecided, no other one is made, and the agent still responds to its node.
 func TestOneProposalAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const end = 6 * time.Second
 		ctx, cancel := context.WithTimeout(t.Context(), end-10*time.Millisecond)
 		defer cancel()
-		w := newTestFleet(t, ctx)
-		w.log.change(func(v *replog.View) { v.WithinLease = true })
-		w.log.blocked = true
-		w.failureShare["c"] = 1
-		w.play(t, ctx, end, map[time.Duration]func(){4 * time.Second: func() { w.log.blocked = false }})
-		zones := w.log.View().State.Zones
-		if w.log.maxPending != 1 || len(zones.TrafficLimits("a")) != 1 || w.log.pending != 0 {
-			t.Errorf("%d proposals at once, then %+v", w.log.maxPending, zones)
+		fleet := newTestFleet(t, ctx)
+		fleet.log.change(func(v *replog.View) { v.WithinLease = true })
+		fleet.log.blocked = true
+		fleet.failureShare["c"] = 1
+		fleet.runScript(t, ctx, end, map[time.Duration]func(){4 * time.Second: func() { fleet.log.blocked = false }})
+		zones := fleet.log.View().State.Zones
+		if fleet.log.maxPending != 1 || len(zones.TrafficLimits("a")) != 1 || fleet.log.pending != 0 {
+			t.Errorf("%d proposals at once, then %+v", fleet.log.maxPending, zones)
 		}
 	})
 }
--- a/internal/fleet/agent/usages.go
+++ b/internal/fleet/agent/usages.go
@@ -7,15 +7,14 @@
 	"coralrelay/internal/fleet/gossip"
 )
 
-// maxFilledPaths bounds the paths that are filled in for reports that were cut. A member
-// whose report is beyond it counts as missing, and as having used all that it had.
+// maxFilledPaths limits the total number of paths that are filled in for incomplete reports. A member
+// whose report exceeds it counts as not having reported, hence as having used its whole allocation.
 const maxFilledPaths = 200_000
 
-// completeUsages returns members' usages as an allocation takes them. A path that a report of
-// this half epoch has omitted to be shorter counts as used as much as the largest that it
-// omitted.
+// completeUsages returns members' usages as the input of an allocation. If a report of this half epoch
+// has omitted paths to fit its message, each of them counts as used as much as its OmittedMax.
 func completeUsages(usages []gossip.Usage, accounts account.State, halfEpoch int64) (all []account.Usage) {
-	var paths []string // computed once it is needed
+	var paths []string // computed when first needed
 	filled := 0
 	for _, usage := range usages {
 		if usage.HalfEpoch == halfEpoch && usage.OmittedMax != (account.Amounts{}) {
@@ -32,7 +31,7 @@
 	return all
 }
 
-// fillOmitted returns what was used before, with the paths that the report has omitted.
+// fillOmitted returns UsedBefore of the usage with the missing ones of paths set to OmittedMax.
 func fillOmitted(usage gossip.Usage, paths []string) map[string]account.Amounts {
 	usedBefore := maps.Clone(usage.UsedBefore)
 	for _, path := range paths {
@@ -43,8 +42,8 @@
 	return usedBefore
 }
 
-// limitedPaths returns the paths with a limit that is allocated again in an epoch's second
-// half. It is never nil.
+// limitedPaths returns the paths with a limit that is reallocated in the second half of an epoch. The
+// result is never nil.
 func limitedPaths(accounts account.State) []string {
 	paths := []string{}
 	for path, node := range accounts.Nodes {
--- a/internal/fleet/agent/zoneleader.go
+++ b/internal/fleet/agent/zoneleader.go
@@ -9,9 +9,9 @@
 	"coralrelay/internal/fleet/zonestatus"
 )
 
-// proposeZoneChange evaluates all members' reports, and proposes a change of the zones'
-// status if one is due: one at a time, so that each is decided on the state that the last
-// one left. Only the leader calls it.
+// proposeZoneChange evaluates all members' reports, and proposes a change of the zone statuses if one is
+// due. Only one proposal is pending at a time, so that each is based on the state after the previous one.
+// Only the leader calls it.
 func (a *Agent) proposeZoneChange(ctx context.Context, now time.Duration, zones zonestatus.State,
 	goroutines *sync.WaitGroup) {
 	change, reason, due := a.zoneController.Evaluate(now, zones, a.Gossip.ZoneReports(), a.presentMembers())
