--- a/internal/fleet/agent/accounts_test.go
+++ b/internal/fleet/agent/accounts_test.go
@@ -57,7 +57,7 @@
 				request := agentapi.OperatorRequest{Method: method, Entry: json.RawMessage(tt.entry)}
 				answer, err := fleet.agent.HandleOperator(t.Context(), request)
 				if err == nil || !strings.Contains(err.Error(), tt.want) {
-					t.Errorf("%s %s: %v, %v", method, tt.entry, answer, err)
+					t.Errorf("%s %s: response %v, error %v", method, tt.entry, answer, err)
 				}
 			}
 		}
@@ -168,7 +168,7 @@
 			}
 			got := completeUsages([]gossip.Usage{usage}, accounts, 7)[0].UsedBefore
 			if !maps.Equal(got, tt.want) {
-				t.Errorf("%v, want %v", got, tt.want)
+				t.Errorf("usage %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/fleet/agent/objectives_test.go
+++ b/internal/fleet/agent/objectives_test.go
@@ -51,14 +51,14 @@
 	}
 	got := newTestManager(zones).regions(state, reports, members)
 	if len(got) != len(want) {
-		t.Fatalf("%+v, want %+v", got, want)
+		t.Fatalf("regions %+v, want %+v", got, want)
 	}
 	differ := func(a, b float64) bool { return math.Abs(a-b) > 1e-9 }
 	for i, region := range got {
 		if region.Name != want[i].Name || region.Capacity != want[i].Capacity ||
 			differ(region.UsableFraction, want[i].UsableFraction) ||
 			differ(region.OtherTraffic, want[i].OtherTraffic) || differ(region.Load, want[i].Load) {
-			t.Errorf("%+v, want %+v", region, want[i])
+			t.Errorf("region %+v, want %+v", region, want[i])
 		}
 	}
 }
@@ -90,7 +90,7 @@
 			o.closeIntervals(startedAt+3*interval, contracts, regions, tt.members)
 			rates := o.setupRates().byContract
 			if len(o.observations) != tt.want || tt.want > 0 && rates["gold"] != 0.2 {
-				t.Errorf("%+v, set-up rates %v", o.observations, rates)
+				t.Errorf("observations %+v, set-up rates %v", o.observations, rates)
 			}
 		})
 	}
--- a/internal/fleet/agent/stored_test.go
+++ b/internal/fleet/agent/stored_test.go
@@ -24,6 +24,6 @@
 	got := fmt.Sprint(zonestatus.Active, zonestatus.Suspect, zonestatus.Evacuating, zonestatus.Evacuated,
 		zonestatus.Recovering, zonestatus.HeldBack, quota.Alive, quota.Failed, quota.Left)
 	if want := "open suspect leaving left returning held alive failed left"; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("names %s, want %s", got, want)
 	}
 }
--- a/internal/fleet/agent/transcript_test.go
+++ b/internal/fleet/agent/transcript_test.go
@@ -114,7 +114,7 @@
 		fleet.runScript(t, ctx, end, map[time.Duration]func(){4 * time.Second: func() { fleet.log.blocked = false }})
 		zones := fleet.log.View().State.Zones
 		if fleet.log.maxPending != 1 || len(zones.TrafficLimits("a")) != 1 || fleet.log.pending != 0 {
-			t.Errorf("%d proposals at once, then %+v", fleet.log.maxPending, zones)
+			t.Errorf("%d concurrent proposals, then zone statuses %+v", fleet.log.maxPending, zones)
 		}
 	})
 }
--- a/internal/fleet/gossip/report_test.go
+++ b/internal/fleet/gossip/report_test.go
@@ -45,7 +45,7 @@
 	oversized.Observations = observeZones(servers)
 	raw := oversized.encode()
 	if len(raw) > maxPayloadBytes {
-		t.Errorf("%d bytes", len(raw))
+		t.Errorf("report of %d bytes, want at most maxPayloadBytes", len(raw))
 	}
 	for _, want := range []string{
 		"s-00000007",
@@ -53,17 +53,17 @@
 		`["a-zone-of-a-long-name-00",36,0,36,444,12,0.143,0]`,
 	} {
 		if !strings.Contains(string(raw), want) {
-			t.Errorf("%s is not in %s", want, raw)
+			t.Errorf("%s is missing in %s", want, raw)
 		}
 	}
 	if got, err := decodeReport(raw); err != nil || len(got.Observations) != maxZones || !got.isValid() {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("report decoded as %+v, error %v", got, err)
 	}
 	for i := range oversized.Observations {
 		oversized.Observations[i].Zone = strings.Repeat("\x01", maxZoneNameBytes) // six bytes each
 	}
 	if raw := oversized.encode(); len(raw) > maxPayloadBytes {
-		t.Errorf("%d bytes of zones with odd names", len(raw))
+		t.Errorf("report of %d bytes with escaped zone names, want at most maxPayloadBytes", len(raw))
 	}
 }
 
@@ -80,7 +80,7 @@
 		{Zone: "b", Endpoints: 3, Failing: 1, Attempted: 3, Attempts: 8.4, FailedAttempts: 5.4, Load: 0.375, WarmingUp: 1},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("observations %+v, want %+v", got, want)
 	}
 }
 
@@ -109,7 +109,7 @@
 			member.Receive([]byte(tt.raw))
 			member.Receive([]byte(tt.raw))
 			if len(member.reports) != tt.wantReports || len(member.ZoneReports()) != tt.wantZoneReports {
-				t.Errorf("%s: %d reports, %v", tt.raw, len(member.reports), member.ZoneReports())
+				t.Errorf("%s: %d reports, zone reports %v", tt.raw, len(member.reports), member.ZoneReports())
 			}
 			members := member.Members()
 			if len(members) != 2 || members[1].Zone != "a" || members[1].ReplogAddress != "127.0.0.1:1" {
--- a/internal/fleet/gossip/run_test.go
+++ b/internal/fleet/gossip/run_test.go
@@ -89,7 +89,7 @@
 				break // a tenth of its own 10 attempts, and a third of what the two others have left
 			}
 			if time.Since(startedAt) > testTimeout {
-				t.Fatalf("%s: %+v", name, lease)
+				t.Fatalf("member %s: lease %+v after the time-out", name, lease)
 			}
 		}
 	}
--- a/internal/fleet/gossip/stored_test.go
+++ b/internal/fleet/gossip/stored_test.go
@@ -54,7 +54,7 @@
 	}
 	member.SetMemberStatus("node-b", quota.Alive, storedtest.AssertFile(t, "meta.json", raw))
 	if got := member.metadata["node-b"]; got != want {
-		t.Errorf("metadata is read as %+v, want %+v", got, want)
+		t.Errorf("metadata decoded as %+v, want %+v", got, want)
 	}
 	return member
 }
@@ -64,10 +64,10 @@
 	t.Helper()
 	_, usage := storedUsage()
 	if got, want := member.reports["node-b"], storedReport(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the report is read as %+v, want %+v", got, want)
+		t.Errorf("report decoded as %+v, want %+v", got, want)
 	}
 	if got := member.usages["node-b"]; !reflect.DeepEqual(got, usage) {
-		t.Errorf("the use of accounts is read as %+v, want %+v", got, usage)
+		t.Errorf("usage of accounts decoded as %+v, want %+v", got, usage)
 	}
 }
 
@@ -99,6 +99,6 @@
 	storedtest.AssertFile(t, "fleet.key", []byte("00112233445566778899aabbccddeeff00112233445566778899aabbccddeef0"))
 	want := []byte("\x00\x11\x22\x33\x44\x55\x66\x77\x88\x99\xaa\xbb\xcc\xdd\xee\xff\x00\x11\x22\x33\x44\x55\x66\x77\x88\x99\xaa\xbb\xcc\xdd\xee\xf0")
 	if key, err := ReadKey("testdata/stored/fleet.key"); err != nil || !bytes.Equal(key, want) {
-		t.Errorf("the key is read as %x, %v, want %x", key, err, want)
+		t.Errorf("key decoded as %x, error %v, want %x", key, err, want)
 	}
 }
--- a/internal/fleet/gossip/usage_test.go
+++ b/internal/fleet/gossip/usage_test.go
@@ -31,7 +31,7 @@
 		sender.PublishUsage(usage)
 		sender.PublishUsage(usage)
 		if len(sent) != 1 || len(sent[0]) > maxPayloadBytes {
-			t.Fatalf("%d paths: sent %d times", paths, len(sent))
+			t.Fatalf("%d paths: %d messages sent, want 1 of at most maxPayloadBytes", paths, len(sent))
 		}
 		receiver.Receive(sent[0])
 		if len(receiver.Usages()) != 0 {
@@ -45,7 +45,7 @@
 		receiver.Receive([]byte(`{"used":7}`))
 		got := receiver.Usages()
 		if len(got) != 1 || got[0].Member != "a" || got[0].HalfEpoch != 11 {
-			t.Fatalf("%d paths: %+v", paths, got)
+			t.Fatalf("%d paths: usages %+v", paths, got)
 		}
 		for path, amounts := range usage.UsedBefore {
 			received, ok := got[0].UsedBefore[path]
--- a/internal/fleet/storedtest/storedtest.go
+++ b/internal/fleet/storedtest/storedtest.go
@@ -36,7 +36,7 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(read, value) {
-		t.Errorf("%s is read as %+v, want %+v", name, read, value)
+		t.Errorf("%s decoded as %+v, want %+v", name, read, value)
 	}
 	return stored
 }
