--- a/internal/fleet/agent/operator.go
+++ b/internal/fleet/agent/operator.go
@@ -14,10 +14,10 @@
 
 // The methods of an operator's request. The values are part of the protocol and must not change.
 const (
-	methodState    = "state"   // state of this member, for display
-	methodLogState = "record"  // complete state of the replicated log
-	methodCheck    = "check"   // whether an entry would be accepted in the current state
-	methodPropose  = "propose" // propose an entry to the replicated log
+	methodState   = "state"   // state of this member, for display
+	methodRecord  = "record"  // complete state of the replicated log
+	methodCheck   = "check"   // whether an entry would be accepted in the current state
+	methodPropose = "propose" // propose an entry to the replicated log
 )
 
 // ProposalOutcome is the response to the methods "check" and "propose".
@@ -31,7 +31,7 @@
 	switch request.Method {
 	case methodState:
 		return a.State(), nil
-	case methodLogState, methodCheck, methodPropose:
+	case methodRecord, methodCheck, methodPropose:
 		if a.Log == nil {
 			return nil, fmt.Errorf("fleet.record: %s", a.NoLogReason)
 		}
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("ask: %.40q is none of state, record, check, propose", request.Method)
 	}
 	state := a.Log.View().State
-	if request.Method == methodLogState {
+	if request.Method == methodRecord {
 		return state, nil
 	}
 	entry, err := decodeOperatorEntry(request.Entry)
