--- a/cmd/coralrelay/activeconfig.go
+++ b/cmd/coralrelay/activeconfig.go
@@ -18,11 +18,11 @@
 	"coralrelay/internal/upstream"
 )
 
-// probeTimeout is longer than a busy endpoint needs for an answer to a probe, and shorter than the
-// decision module waits before it probes again.
+// probeTimeout bounds one load probe. It is longer than a busy endpoint takes to answer, and shorter
+// than the interval after which the decision module probes an endpoint again.
 const probeTimeout = 500 * time.Millisecond
 
-// activeConfig is the platform's configuration that is in force, and the parts that go by it.
+// activeConfig holds the platform configuration in force and the components that it configures.
 type activeConfig struct {
 	eventLoop *dispatch.EventLoop
 	pool      *upstream.Pool
@@ -34,14 +34,14 @@
 	current config.Config
 }
 
-// apply brings a configuration into force with the parts that measure and limit by it, under
-// the lock once they run.
+// apply passes cfg to the components that measure and limit by it, and makes it the current
+// configuration. Once the node's goroutines run, the caller must hold a.mu.
 func (a *activeConfig) apply(cfg config.Config) {
 	classNames := []string{}
 	for _, class := range cfg.Settings.Classes {
 		classNames = append(classNames, class.Name)
 	}
-	a.metrics.AddClasses(classNames...) // before any client is served by them
+	a.metrics.AddClasses(classNames...) // before a request of a new class can arrive
 	a.pool.SetLimits(upstreamLimits(cfg.Settings))
 	a.watcher.SetInstances(cfg.Settings.Instances)
 	a.watcher.SetTerms(listlease.Terms{DrainGrace: cfg.Settings.Rules.DrainGrace, Pushed: cfg.Settings.ListPushed})
@@ -49,7 +49,7 @@
 	a.current = cfg
 }
 
-// setSiblingAlive takes into account whether another process makes placements for this node too.
+// setSiblingAlive tells the event loop whether a sibling process also makes placements for this node.
 func (a *activeConfig) setSiblingAlive(alive bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,13 +60,14 @@
 	a.eventLoop.UpdateSettings(a.current.Settings)
 }
 
-// reload reads the platform's configuration again: all of a file comes into force, or none. The error is
-// that of a file that could not be opened for want of a descriptor, which says nothing of the file.
+// reload reads the platform configuration again and applies it as a whole; an invalid file is logged
+// and changes nothing. It returns an error only if the process had no free descriptor to open the file,
+// so that the caller can retry.
 func (a *activeConfig) reload() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	current := a.current
-	next, fixed, err := current.Reload(os.Getenv)
+	next, restartKeys, err := current.Reload(os.Getenv)
 	if neterr.IsExhausted(err) {
 		return err
 	}
@@ -75,11 +76,11 @@
 		slog.Error("configuration reload rejected, the old one stays", "component", componentReload, "error", err)
 		return nil
 	}
-	if len(fixed) > 0 {
-		slog.Warn("changed keys need a restart", "component", componentReload, "keys", fixed)
+	if len(restartKeys) > 0 {
+		slog.Warn("changed keys need a restart", "component", componentReload, "keys", restartKeys)
 	}
 	next.Settings = settings.ForWatch(next.Settings)
-	next.Settings.Processes = current.Settings.Processes // these are not in the file
+	next.Settings.Processes = current.Settings.Processes // set at run time, not in the file
 	next.Settings.Limits.ProbeConnections = current.Settings.Limits.ProbeConnections
 	a.apply(next)
 	a.eventLoop.UpdateSettings(next.Settings)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// longestDeadline is the longest deadline of a class.
+// longestDeadline returns the longest deadline of any class.
 func (a *activeConfig) longestDeadline() (longest time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +101,7 @@
 	return longest
 }
 
-// upstreamLimits are the limits that the settings set for work on an endpoint.
+// upstreamLimits returns the limits that the settings set for connections to endpoints.
 func upstreamLimits(s balance.Settings) upstream.Limits {
 	return upstream.Limits{
 		ConnectTimeout: s.Limits.ConnectTimeout,
--- a/cmd/coralrelay/admin.go
+++ b/cmd/coralrelay/admin.go
@@ -18,24 +18,25 @@
 	"coralrelay/internal/upstream"
 )
 
-// The times of an operator's drain, after its call. The front sends clients for 0.2 s after
-// it knows; all sessions have to be asked to move within 4 s.
+// The schedule of a lame duck drain, measured from the operator's LAMEDUCK call. The front sends
+// clients for another 0.2 s after it learns of the drain, and every session must be asked to move
+// within 4 s.
 const (
 	lameDuckMoveStart   = 350 * time.Millisecond
 	lameDuckRejectDelay = 600 * time.Millisecond
 	lameDuckMoveEnd     = 2500 * time.Millisecond
-	// noDrainEnd is later than any drain.
-	noDrainEnd = 100 * 365 * 24 * time.Hour
+	// unboundedDrain stands in for the end of a drain that lasts until REJOIN.
+	unboundedDrain = 100 * 365 * 24 * time.Hour
 )
 
-// adminNode is what operators may ask of the node. It is an admin.Node.
+// adminNode implements the operations of the admin server. It is an admin.Node.
 type adminNode struct {
 	*downstream.Server
 	pool      *upstream.Pool
 	eventLoop *dispatch.EventLoop
 	watcher   *discovery.Watcher
 	metrics   *metrics.Registry
-	// acceptQueue returns how many connections wait to be accepted.
+	// acceptQueue returns the number of connections in the listener's accept queue.
 	acceptQueue func() int
 }
 
@@ -52,7 +53,8 @@
 	})
 }
 
-// listMetrics is what is known of the endpoint list at a time.
+// listMetrics returns the age of the endpoint list at the given time, and the counts of discovery
+// calls by outcome.
 func (n adminNode) listMetrics(now time.Time) metrics.List {
 	list := metrics.List{Age: n.watcher.Status().Age(now)}
 	for outcome := range listlease.OutcomeCount {
@@ -61,7 +63,7 @@
 	return list
 }
 
-// rejections are the requests that were given up, by reason.
+// rejections returns the counts of rejected requests by reason.
 func (n adminNode) rejections() (counts []metrics.Count) {
 	for reason := range balance.RejectReasonCount {
 		counts = append(counts, metrics.Count{Name: reason.String(), Value: n.eventLoop.RejectionCount(reason)})
@@ -77,7 +79,7 @@
 		RejectAt:    now.Add(lameDuckRejectDelay),
 		MoveStartAt: now.Add(lameDuckMoveStart),
 		MoveEndAt:   now.Add(lameDuckMoveEnd),
-		EndAt:       now.Add(noDrainEnd),
+		EndAt:       now.Add(unboundedDrain),
 	})
 }
 
@@ -87,7 +89,7 @@
 	n.Server.Rejoin()
 }
 
-// startAdmin starts the operators' server, if it has an address. Its goroutine ends with ctx.
+// startAdmin starts the admin server if addr is not empty. Its goroutine ends with ctx.
 func startAdmin(ctx context.Context, goroutines *sync.WaitGroup, addr string, node admin.Node) error {
 	if addr == "" {
 		return nil
--- a/cmd/coralrelay/agentclient.go
+++ b/cmd/coralrelay/agentclient.go
@@ -12,9 +12,9 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// startAgentClient keeps the node to the fleet's quotas and routes, as its agent sends them, if
-// one is configured. While the agent can't be reached the node goes by its own limits. It is
-// called before the event loop runs. Its goroutine ends with ctx.
+// startAgentClient starts the client that receives the fleet's quotas and routes from the agent, if
+// one is configured. While the agent is unreachable, the node applies its own limits. startAgentClient
+// must be called before the event loop runs. Its goroutine ends with ctx.
 func startAgentClient(
 	ctx context.Context, goroutines *sync.WaitGroup, fleet operatorconfig.Fleet, eventLoop *dispatch.EventLoop,
 ) error {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// addFleetRouter has requests routed by the tables and leases that the client receives.
+// addFleetRouter routes requests by the route tables and quota leases that the client receives.
 func addFleetRouter(client *agentapi.Client, fleet operatorconfig.Fleet, eventLoop *dispatch.EventLoop) error {
 	router, err := newFleetRouter(eventLoop, fleet.AllocationConfig())
 	if err != nil {
@@ -46,24 +46,25 @@
 	eventLoop.Router = router
 	extendClient(client, router.fillReport, router.handleResponse)
 	client.OnDisconnect = func(err error) {
-		router.agentLost()
+		router.handleDisconnect()
 		logAgentUnreachable(err)
 	}
 	return nil
 }
 
-// extendClient adds to what the client reports and does with responses, after what it did.
+// extendClient makes the client also call fillReport on each report and handleResponse on each
+// response, after the functions that it already has.
 func extendClient(
 	client *agentapi.Client, fillReport func(*agentapi.Report), handleResponse func(*agentapi.Response),
 ) {
-	makeReportBefore, handleResponseBefore := client.MakeReport, client.HandleResponse
+	baseMakeReport, baseHandleResponse := client.MakeReport, client.HandleResponse
 	client.MakeReport = func() agentapi.Report {
-		report := makeReportBefore()
+		report := baseMakeReport()
 		fillReport(&report)
 		return report
 	}
 	client.HandleResponse = func(response agentapi.Response) {
-		handleResponseBefore(response)
+		baseHandleResponse(response)
 		handleResponse(&response)
 	}
 }
--- a/cmd/coralrelay/backlog.go
+++ b/cmd/coralrelay/backlog.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// usualAcceptBacklog is how many connections may wait to be accepted, unless the process can hold more.
-const usualAcceptBacklog = 2048
+// defaultAcceptBacklog is the length of the accept queue, unless the process may hold more sockets.
+const defaultAcceptBacklog = 2048
 
-// limitBacklog bounds how many connections may wait in the kernel to be accepted: the system's limit may be a queue of
-// seconds, behind which an answer comes too late. A connection that finds it full is not taken, and its client's system
-// tries again.
+// limitBacklog bounds the listener's accept queue in the kernel. With the system's limit, connections
+// could wait in the queue for seconds, and their clients would be answered too late. The kernel drops a
+// connection request that finds the queue full, and the client's kernel sends it again.
 func limitBacklog(listener net.Listener, sockets int) error {
 	tcp, ok := listener.(syscall.Conn)
 	if !ok {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	controlErr := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), max(usualAcceptBacklog, sockets)) })
+	controlErr := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), max(defaultAcceptBacklog, sockets)) })
 	if controlErr != nil {
 		err = controlErr
 	}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// acceptQueue returns how many connections wait to be accepted; 0 where the system does not say.
+// acceptQueue returns the length of the listener's accept queue, or 0 where the system does not report it.
 func acceptQueue(listener net.Listener) int {
 	tcp, ok := listener.(syscall.Conn)
 	if !ok {
@@ -45,7 +45,7 @@
 	}
 	waiting := 0
 	_ = raw.Control(func(fd uintptr) {
-		// Of a listening socket the system gives the length of its queue as the unacknowledged segments.
+		// For a listening socket, Linux reports the length of the accept queue in tcpi_unacked.
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			waiting = int(info.Unacked)
 		}
--- a/cmd/coralrelay/command.go
+++ b/cmd/coralrelay/command.go
@@ -7,9 +7,9 @@
 	"io"
 )
 
-// runCommand reads the command line and runs its command; without one the node serves.
-// It is read by package flag and not by kong, as the other commands' are: kong finds methods
-// by name, so the linker keeps every method of every type, which is 2.4 MB resident.
+// runCommand parses the command line and runs its command, which is serve by default.
+// It uses package flag instead of kong, which the other programs use: kong looks up methods
+// by name, so the linker keeps every method of every type, which costs 2.4 MB of resident memory.
 func runCommand(args []string, out io.Writer, serve func(file string) error) error {
 	command := "serve"
 	if len(args) > 0 && (args[0] == "serve" || args[0] == "version") {
@@ -24,7 +24,7 @@
 	file := ""
 	if command == "serve" {
 		flags.StringVar(&file, "config", "",
-			"the operator's own `FILE`, CUE or JSON; without it all that goes beyond the platform is off")
+			"operator configuration `FILE`, CUE or JSON; without it the features that it configures are off")
 	}
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
@@ -32,7 +32,7 @@
 	case err != nil:
 		return err
 	case flags.NArg() > 0:
-		return fmt.Errorf("argument %q: none is taken but serve, version and --config FILE", flags.Arg(0))
+		return fmt.Errorf("unexpected argument %q: want serve, version or --config FILE", flags.Arg(0))
 	}
 	if command == "version" {
 		_, err := fmt.Fprintln(out, "coralrelay", version())
--- a/cmd/coralrelay/components.go
+++ b/cmd/coralrelay/components.go
@@ -1,6 +1,6 @@
 package main
 
-// The parts of the node as the attribute "component" of its log lines names them.
+// Values of the log attribute "component" for the parts of the node.
 const (
 	componentNode       = "node"
 	componentReload     = "reload"
--- a/cmd/coralrelay/drain.go
+++ b/cmd/coralrelay/drain.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// rejectRetryAfter is the Retry-After of clients that are rejected before their first line
-	// was read: while the node drains, the front still sends some here for 0.4 s.
+	// rejectRetryAfter is the Retry-After for clients that are rejected before their first line is
+	// read. It is longer than the 0.4 s for which the front still sends clients to a draining node.
 	rejectRetryAfter = 500 * time.Millisecond
-	// maxDrainDeadline and drainMargin: a planned restart waits for the longest deadline of a
-	// class, at most maxDrainDeadline, and may take 0.7 s more, of which drainMargin is planned.
+	// maxDrainDeadline and drainMargin bound a planned restart. It waits for the longest deadline of
+	// any class, but at most for maxDrainDeadline, and may take 0.7 s longer, of which the drain plan
+	// uses drainMargin.
 	maxDrainDeadline = 3 * time.Second
 	drainMargin      = 400 * time.Millisecond
-	// frontUpdateDelay is how long the front still sends clients here after a restart has
-	// begun, those too that were migrated.
+	// frontUpdateDelay is how long the front still sends clients to this node after a restart has
+	// begun, including clients that were migrated from it.
 	frontUpdateDelay = 400 * time.Millisecond
 )
 
-// drain empties the node for good, within the longest deadline and a little more.
+// drain ends all sessions before the process exits. It takes at most the longest deadline of any class,
+// or maxDrainDeadline if that is shorter, plus drainMargin.
 func (n *node) drain() {
-	n.startDraining() // before anything that may take its time
+	n.startDraining() // first, because the following steps may take time
 	n.resumption.beginDraining()
 	longest := min(n.active.longestDeadline(), maxDrainDeadline)
 	startedAt := time.Now()
 	n.lock.SetServing(false)
-	hasSuccessor := n.lock.IsSiblingServing() // one that is not ready, or drains too, would leave clients to nobody
+	hasSuccessor := n.lock.IsSiblingServing() // a sibling that is not ready or drains too accepts no clients
 	slog.Info("draining", "component", componentNode, "longest_deadline", longest, "successor", hasSuccessor)
 	plan := newDrainPlan(startedAt, longest)
-	if hasSuccessor { // it accepts all clients from now on; those accepted before are served here
+	if hasSuccessor { // accepts all new clients; this process serves those that it has accepted
 		_ = n.listener.Close()
 		plan.RejectAt, plan.MoveStartAt = plan.EndAt, startedAt
 		if sender := n.dialSuccessor(); sender != nil {
@@ -50,8 +52,8 @@
 		audit.Counts()...)...)
 }
 
-// dialSuccessor connects to the process that takes over the sessions; nil if it can't be
-// reached, and they migrate.
+// dialSuccessor connects to the process that takes over the sessions. It returns nil if that process
+// can't be reached; the sessions then migrate.
 func (n *node) dialSuccessor() *hotrestart.Sender {
 	sender, err := hotrestart.Dial(os.TempDir(), n.lock.SiblingName())
 	if err != nil {
@@ -61,8 +63,8 @@
 	return sender
 }
 
-// newDrainPlan is the plan of a restart without a successor: sessions are migrated evenly
-// from half of the longest deadline on, but not before the front knows of the restart.
+// newDrainPlan returns the plan of a restart without a successor: sessions are migrated at an even rate
+// from half of the longest deadline on, but not before the front has stopped sending clients here.
 func newDrainPlan(startedAt time.Time, longest time.Duration) downstream.DrainPlan {
 	end := startedAt.Add(longest + drainMargin)
 	return downstream.DrainPlan{
@@ -73,8 +75,8 @@
 	}
 }
 
-// retryAfter is asked of clients that are rejected before their first line was read, where
-// the settings allow it; else 0.
+// retryAfter returns the Retry-After for clients that are rejected before their first line is read, or 0
+// if the settings do not allow one.
 func retryAfter(limits balance.Limits) time.Duration {
 	if !limits.SendRetryAfter {
 		return 0
--- a/cmd/coralrelay/endpoints.go
+++ b/cmd/coralrelay/endpoints.go
@@ -12,36 +12,37 @@
 	"coralrelay/internal/upstream"
 )
 
-// endpointUpdater passes a list of endpoints on: first the addresses, then to the event loop. It is
-// called by the watcher's goroutine.
+// endpointUpdater passes updates of the endpoint list on, first to the pool and then to the event loop,
+// so that the pool has the address of each endpoint that the event loop uses. It runs on the watcher's
+// goroutine.
 type endpointUpdater struct {
 	pool              *upstream.Pool
 	eventLoop         *dispatch.EventLoop
-	udpListeners      udp.Listeners // nil where UDP is off
-	firstListReceived chan struct{} // closed once discovery has sent a list or a change to one
+	udpListeners      udp.Listeners // nil if UDP is disabled
+	firstListReceived chan struct{} // closed when discovery has sent a list or a delta
 	firstListOnce     sync.Once
-	// onEndpointCount is called with how many endpoints are listed, before any of them is used.
+	// onEndpointCount is called with the number of listed endpoints before the event loop uses any of them.
 	onEndpointCount func(n int)
 }
 
-// UpdateEndpoints passes one list or change on.
-func (f *endpointUpdater) UpdateEndpoints(u discovery.Update) {
+// UpdateEndpoints passes on one update: a full list, a delta, or the failure of a discovery call.
+func (e *endpointUpdater) UpdateEndpoints(update discovery.Update) {
 	if mutation.Enabled("drain") {
-		for i := range u.Endpoints {
-			if u.Endpoints[i].State == balance.Draining {
-				u.Endpoints[i].State = balance.Ready
+		for i := range update.Endpoints {
+			if update.Endpoints[i].State == balance.Draining {
+				update.Endpoints[i].State = balance.Ready
 			}
 		}
 	}
-	if u.Kind != balance.ListFailed {
-		f.pool.Update(u.Kind != balance.ListDelta, u.Endpoints, time.Now())
-		f.onEndpointCount(f.pool.EndpointCount())
+	if update.Kind != balance.ListFailed {
+		e.pool.Update(update.Kind != balance.ListDelta, update.Endpoints, time.Now())
+		e.onEndpointCount(e.pool.EndpointCount())
 	}
-	f.eventLoop.UpdateEndpoints(u.ListUpdate())
-	if u.Kind == balance.ListFull || u.Kind == balance.ListDelta {
-		f.firstListOnce.Do(func() { close(f.firstListReceived) })
+	e.eventLoop.UpdateEndpoints(update.ListUpdate())
+	if update.Kind == balance.ListFull || update.Kind == balance.ListDelta {
+		e.firstListOnce.Do(func() { close(e.firstListReceived) })
 	}
-	if f.udpListeners != nil {
-		f.udpListeners.EndpointsChanged()
+	if e.udpListeners != nil {
+		e.udpListeners.EndpointsChanged()
 	}
 }
--- a/cmd/coralrelay/fleetrouter.go
+++ b/cmd/coralrelay/fleetrouter.go
@@ -16,30 +16,30 @@
 	"coralrelay/internal/route"
 )
 
-// maxReportedPaths bounds the paths in one report to the agent: those used most.
+// maxReportedPaths bounds the account paths in one report to the agent. The most used ones are kept.
 const maxReportedPaths = 4000
 
-// fleetRouter routes requests by the tables and the quota leases that the agent sends. It is a
-// dispatch.Router. Responses are handled on the client's goroutine, which sets what the event
-// loop goes by.
+// fleetRouter routes requests by the route tables and quota leases that the agent sends. It is a
+// dispatch.Router. The agent client's goroutine handles responses and passes new tables and leases to
+// the event loop.
 type fleetRouter struct {
 	eventLoop *dispatch.EventLoop
 	halfEpoch time.Duration
 
-	// Of the client's goroutine.
+	// The following fields are used on the agent client's goroutine only.
 	reassembler       agentapi.Reassembler
-	table             *route.Table // nil for none
-	reportedHalfEpoch int64        // the last one whose usage was reported
+	table             *route.Table // the base of further changes; nil without a valid table
+	reportedHalfEpoch int64        // the last half epoch in which usage was reported
 	invalidTableLog   logging.Throttled
 
-	// Of the event loop's goroutine.
+	// The following fields are used on the event loop's goroutine only.
 	activeTable      *route.Table
 	limiter          *route.Limiter
-	agentClockOffset time.Duration // of the agent's clock over the event loop's
+	agentClockOffset time.Duration // the agent's clock minus the event loop's clock
 	rejections       rejectionLog
 }
 
-// newFleetRouter returns a router without a table: requests may go anywhere.
+// newFleetRouter returns a router without a table. Such a router does not restrict any request.
 func newFleetRouter(eventLoop *dispatch.EventLoop, cfg account.LeaseConfig) (*fleetRouter, error) {
 	limiter, err := route.NewLimiter(cfg)
 	if err != nil {
@@ -53,10 +53,10 @@
 	}, nil
 }
 
-// now is the agent's time, on the event loop.
+// now returns the time on the agent's clock. It must be called on the event loop.
 func (r *fleetRouter) now() time.Duration { return r.eventLoop.Now() + r.agentClockOffset }
 
-// find returns the route that a request matches; nil for none.
+// find returns the route that the request matches, or nil if there is none.
 func (r *fleetRouter) find(request *dispatch.Request) *route.Route {
 	if r.activeTable == nil {
 		return nil
@@ -80,9 +80,9 @@
 	if matched == nil {
 		return nil, nil
 	}
-	if ok, over := r.limiter.Admit(r.now(), matched, request.Retry); !ok {
-		r.rejections.isPending = true
-		return nil, &balance.ZoneConstraint{Name: over}
+	if ok, exceeded := r.limiter.Admit(r.now(), matched, request.Retry); !ok {
+		r.rejections.hasUnlogged = true
+		return nil, &balance.ZoneConstraint{Name: exceeded}
 	}
 	return matched, matched.Constraint
 }
@@ -98,14 +98,14 @@
 }
 
 // AddUsage implements dispatch.Router.
-func (r *fleetRouter) AddUsage(on *route.Route, retries, probes int) {
-	r.limiter.RecordAttempts(r.now(), on, retries, retries, probes)
+func (r *fleetRouter) AddUsage(admitted *route.Route, retries, probes int) {
+	r.limiter.RecordAttempts(r.now(), admitted, retries, retries, probes)
 }
 
 // Release implements dispatch.Router.
-func (r *fleetRouter) Release(on *route.Route) { r.limiter.ConnectionClosed(on) }
+func (r *fleetRouter) Release(admitted *route.Route) { r.limiter.ConnectionClosed(admitted) }
 
-// fillReport adds to the report, once in a half epoch, what was used.
+// fillReport adds the state of the route table to the report and, once per half epoch, the usage.
 func (r *fleetRouter) fillReport(report *agentapi.Report) {
 	if r.table != nil {
 		report.TableIndex = r.table.Index
@@ -126,7 +126,7 @@
 	}
 }
 
-// keepMostUsedPaths drops the paths that are used least, if there are too many.
+// keepMostUsedPaths drops the least used paths beyond maxReportedPaths.
 func keepMostUsedPaths(usage *account.Usage) {
 	if max(len(usage.Used), len(usage.UsedBefore), len(usage.Demand)) <= maxReportedPaths {
 		return
@@ -144,7 +144,7 @@
 	}
 }
 
-// handleResponse takes the tables and leases of the agent's response.
+// handleResponse applies the route tables and quota leases in the agent's response.
 func (r *fleetRouter) handleResponse(response *agentapi.Response) {
 	if update, ok := r.reassembler.AddTable(response); ok {
 		r.applyUpdate(update)
@@ -159,8 +159,8 @@
 	})
 }
 
-// applyUpdate compiles a table or changes to it. One that can't be used leaves the active table in
-// force, and the next report requests a complete one.
+// applyUpdate compiles a complete table or applies changes to the current one. An invalid update leaves
+// the active table in force, and the next report requests a complete table.
 func (r *fleetRouter) applyUpdate(update routeupdate.Update) {
 	var next *route.Table
 	var err error
@@ -181,5 +181,6 @@
 	}
 }
 
-// agentLost is called when the agent can't be reached: the usage is reported anew.
-func (r *fleetRouter) agentLost() { r.reportedHalfEpoch = 0 }
+// handleDisconnect is called when the agent becomes unreachable. The usage is reported again as soon as
+// the agent is reachable.
+func (r *fleetRouter) handleDisconnect() { r.reportedHalfEpoch = 0 }
--- a/cmd/coralrelay/listener.go
+++ b/cmd/coralrelay/listener.go
@@ -14,11 +14,11 @@
 	"coralrelay/internal/config"
 )
 
-// acceptTimeout is how long an accept may wait for the client that it was called for: a process
-// that holds the same socket may have taken it.
+// acceptTimeout bounds an accept that was called because a connection is waiting: another process
+// that shares the socket may have accepted that connection in the meantime.
 const acceptTimeout = time.Millisecond
 
-// openClientListener opens the clients' listener, or takes the one that the platform holds.
+// openClientListener opens the clients' listener, or uses the socket that the platform passes on.
 func openClientListener(cfg config.Config) (net.Listener, error) {
 	if cfg.InheritedFD == 0 {
 		listener, err := net.Listen("tcp", cfg.Listen)
@@ -32,7 +32,7 @@
 	if file == nil {
 		return nil, fmt.Errorf("BALANCER_INHERITED_FD: %d is no descriptor", cfg.InheritedFD)
 	}
-	defer file.Close() // the listener has a copy of its own
+	defer file.Close() // net.FileListener duplicates the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("BALANCER_INHERITED_FD: descriptor %d is no listening socket: %w", cfg.InheritedFD, err)
@@ -44,8 +44,8 @@
 	return newInheritedListener(listener.(*net.TCPListener))
 }
 
-// isListening reports whether l accepts TCP connections. A connected socket passes for a
-// listener until its first Accept.
+// isListening reports whether l accepts TCP connections. net.FileListener also returns a listener
+// for a connected socket, whose first Accept then fails.
 func isListening(l net.Listener) (listening bool) {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -62,14 +62,14 @@
 	return listening
 }
 
-// inheritedListener is a listener whose socket other processes hold too. Whether an accept
-// blocks is a flag that all of them share, and the platform clears it as it starts another
-// process with the socket: an accept that began just then would wait in the kernel for the next
-// client, Close would wait for the accept, and the sessions for Close. So accept is called only
-// when a client waits, right after the flag was set.
+// inheritedListener is a listener whose socket is shared with other processes. The O_NONBLOCK flag
+// is shared too, and the platform clears it when it starts another process with the socket. An
+// accept that began at that moment would block in the kernel until the next client connects; Close
+// would wait for that accept, and the sessions for Close. Accept therefore calls accept(2) only when
+// a connection is waiting, immediately after it has set the flag.
 type inheritedListener struct {
 	*net.TCPListener
-	pollFile *os.File        // the same socket, to wait on
+	pollFile *os.File        // a duplicate of the socket's descriptor, polled for connections
 	pollConn syscall.RawConn // of pollFile
 	closed   atomic.Bool
 }
@@ -87,7 +87,7 @@
 	return nil, fmt.Errorf("BALANCER_INHERITED_FD: %w", err)
 }
 
-// duplicateDescriptor returns a descriptor of l's socket that can be waited on.
+// duplicateDescriptor returns a duplicate of l's descriptor that the runtime can poll.
 func duplicateDescriptor(l *net.TCPListener) (file *os.File, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -96,7 +96,7 @@
 	controlErr := raw.Control(func(fd uintptr) {
 		n := 0
 		if n, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0); err == nil {
-			_ = unix.SetNonblock(n, true) // else the runtime could not wait on it
+			_ = unix.SetNonblock(n, true) // os.NewFile makes only non-blocking descriptors pollable
 			file = os.NewFile(uintptr(n), "clients")
 		}
 	})
@@ -121,7 +121,7 @@
 	}
 }
 
-// prepareAccept reports whether a client waits, and if so sees to it that an accept does not block.
+// prepareAccept reports whether a connection is waiting, and if so makes the socket non-blocking.
 func prepareAccept(fd uintptr) bool {
 	ready, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
 	if err == nil && ready == 0 {
--- a/cmd/coralrelay/listener_test.go
+++ b/cmd/coralrelay/listener_test.go
@@ -33,7 +33,7 @@
 // The queue of connections that wait to be accepted is limited, and its length is shown: a connection that finds it full
 // is not taken, where it once waited for seconds.
 func TestBacklogIsLimitedAndShown(t *testing.T) {
-	const sockets, want = 300, usualAcceptBacklog + 1 // the system takes one more
+	const sockets, want = 300, defaultAcceptBacklog + 1 // the system takes one more
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/coralrelay/main.go
+++ b/cmd/coralrelay/main.go
@@ -1,13 +1,13 @@
-// Command coralrelay is one node of the load balancer: it accepts clients' connections, has the
+// Command coralrelay is one node of the load balancer: it accepts clients' connections, lets the
 // decision module choose an endpoint for each, and relays until either side ends.
 //
-// serve goes through the node's stages: it opens the listener, builds the parts, starts them,
-// accepts clients until SIGTERM, and drains. The goroutines of the parts are counted by the
-// node's WaitGroup and end with the context of start, after the drain: the event loop, the watch
-// of discovery, the reload on SIGHUP, the sibling process's monitor, the receiver of handed-over
-// sessions, the operators' server, the agent's client, the UDP listeners and the three of token
-// resumption. The one that accepts clients ends when the drain closes the listener, and those of
-// the sessions with downstream.Server.Close.
+// serve runs the node in stages: it opens the listener, builds the components, starts them, accepts
+// clients until SIGTERM, and drains. The node's WaitGroup counts the goroutines of the components,
+// which end with the context passed to start, after the drain: the event loop, the discovery watch,
+// the reload on SIGHUP, the sibling monitor, the receiver of handed-over sessions, the admin server,
+// the agent client, the UDP listeners, and the three goroutines of token resumption. The goroutine
+// that accepts clients ends when the drain closes the listener, and those of the sessions end with
+// downstream.Server.Close.
 //
 // An error from serve ends the process with exit code 1; its text names the key, variable, file
 // or address that is at fault.
@@ -27,7 +27,7 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// version is what the build knows of its commit.
+// version returns the module version, the commit and the Go version that the build recorded.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -46,26 +46,27 @@
 }
 
 func main() {
-	// Caught from the first moment on: unhandled, either would end the process.
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+	// The signals are caught first of all, because unhandled, SIGHUP or SIGTERM would end the process.
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	terminate := watchTermination()
 	logging.Setup(os.Stderr, false)
-	serveFile := func(operatorPath string) error { return loadAndServe(terminate, hangUps, operatorPath) }
+	serveFile := func(operatorPath string) error { return loadAndServe(terminate, sighups, operatorPath) }
 	if err := runCommand(os.Args[1:], os.Stdout, serveFile); err != nil {
 		slog.Error("node failed", "component", componentNode, "error", err)
 		os.Exit(1)
 	}
 }
 
-const description = `One node of a load balancer for connections that live from seconds to minutes.
+const description = `One node of a load balancer for connections that last from seconds to minutes.
 
-The platform tells a node what it needs in the JSON file that $BALANCER_CONFIG names; $BALANCER_NAME,
-$BALANCER_LISTEN and $BALANCER_DISCOVERY win over the file. SIGHUP reads both files again, SIGTERM
-moves the connections and ends. README.md has the keys.`
+The platform configures a node with the JSON file that $BALANCER_CONFIG names; $BALANCER_NAME,
+$BALANCER_LISTEN and $BALANCER_DISCOVERY override the file. SIGHUP reloads both files, SIGTERM
+migrates the sessions and exits. README.md documents the keys.`
 
-// loadAndServe reads the files and serves. operatorPath is the operator's file, empty for none.
-func loadAndServe(terminate context.Context, hangUps <-chan os.Signal, operatorPath string) error {
+// loadAndServe loads the configuration and runs the node. operatorPath is the path of the operator's
+// file; it is empty if there is none.
+func loadAndServe(terminate context.Context, sighups <-chan os.Signal, operatorPath string) error {
 	operatorFile := operatorconfig.Default()
 	if operatorPath != "" {
 		var err error
@@ -82,5 +83,5 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	applyProcessLimits(cfg.Limits)
-	return serve(terminate, hangUps, cfg, operatorFile, operatorPath)
+	return serve(terminate, sighups, cfg, operatorFile, operatorPath)
 }
--- a/cmd/coralrelay/rejectionlog.go
+++ b/cmd/coralrelay/rejectionlog.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// rejectionLogInterval is the least time between two logs of rejections.
+	// rejectionLogInterval is the minimum time between two logs of rejections.
 	rejectionLogInterval = 10 * time.Second
-	// maxLoggedRejections is how many kinds of rejections are logged at a time.
+	// maxLoggedRejections bounds the kinds of rejections in one log.
 	maxLoggedRejections = 8
 )
 
-// rejectionLog logs which limits of accounts rejected requests, the commonest ones now and then.
+// rejectionLog logs at intervals which account limits rejected requests, the most frequent ones first.
 type rejectionLog struct {
-	isPending bool      // some were not logged yet
-	loggedAt  time.Time // the last time
-	logged    map[route.Rejection]uint64
+	hasUnlogged bool                       // requests were rejected since the last log
+	loggedAt    time.Time                  // when rejections were last logged
+	logged      map[route.Rejection]uint64 // the counts at the last log
 }
 
-// log logs the limiter's rejections since the last log, if it is time for it.
+// log logs the limiter's rejections since the last log, unless that is less than rejectionLogInterval
+// ago.
 func (l *rejectionLog) log(limiter *route.Limiter) {
 	now := time.Now()
-	if !l.isPending || now.Sub(l.loggedAt) < rejectionLogInterval {
+	if !l.hasUnlogged || now.Sub(l.loggedAt) < rejectionLogInterval {
 		return
 	}
-	l.isPending = false
+	l.hasUnlogged = false
 	total := limiter.Rejections()
 	unlogged := maps.Clone(total)
 	for rejection, count := range l.logged {
@@ -41,7 +42,7 @@
 	l.loggedAt, l.logged = now, total
 	order := slices.SortedFunc(maps.Keys(unlogged), func(a, b route.Rejection) int {
 		return cmp.Or(
-			cmp.Compare(unlogged[b], unlogged[a]), // the commonest first
+			cmp.Compare(unlogged[b], unlogged[a]), // most frequent first
 			cmp.Compare(a.Level, b.Level),
 			cmp.Compare(a.Resource, b.Resource),
 		)
--- a/cmd/coralrelay/reload.go
+++ b/cmd/coralrelay/reload.go
@@ -11,31 +11,32 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// reloadRetryInterval is the pause before a file is opened again that could not be for want of a descriptor.
+// reloadRetryInterval is the pause between attempts to open a file while no descriptor is free.
 const reloadRetryInterval = 50 * time.Millisecond
 
-// reloadOnHangUp reads both files again on each hang-up, until ctx ends.
-func (n *node) reloadOnHangUp(ctx context.Context, hangUps <-chan os.Signal) {
-	operatorFile := n.operatorFile // the active one, which comes to differ from the start's
+// reloadOnSIGHUP reloads both configuration files on each SIGHUP, until ctx ends.
+func (n *node) reloadOnSIGHUP(ctx context.Context, sighups <-chan os.Signal) {
+	operatorFile := n.operatorFile // in force now; n.operatorFile stays that of the start
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangUps:
+		case <-sighups:
 		}
-		n.whileExhausted(ctx, n.active.reload)
-		n.whileExhausted(ctx, func() (err error) {
+		n.retryWhileExhausted(ctx, n.active.reload)
+		n.retryWhileExhausted(ctx, func() (err error) {
 			operatorFile, err = reloadOperatorFile(operatorFile, n.operatorPath, n.resumption)
 			return err
 		})
 	}
 }
 
-// whileExhausted does what may fail for want of a descriptor until it does not, or ctx ends: nobody asks
-// for it a second time. Idle probe connections make way.
-func (n *node) whileExhausted(ctx context.Context, do func() error) {
-	for err := do(); err != nil; err = do() {
-		n.reloadLog.Warn("configuration can't be read yet", "component", componentReload, "error", err)
+// retryWhileExhausted repeats a reload until it no longer fails for lack of a descriptor, or ctx ends,
+// since one SIGHUP must be enough for a reload. After each failure it closes the idle probe connections
+// to free descriptors.
+func (n *node) retryWhileExhausted(ctx context.Context, reload func() error) {
+	for err := reload(); err != nil; err = reload() {
+		n.reloadLog.Warn("cannot open configuration, retrying", "component", componentReload, "error", err)
 		n.pool.CloseIdleProbeConns()
 		select {
 		case <-ctx.Done():
@@ -45,9 +46,9 @@
 	}
 }
 
-// reloadOperatorFile reads the operator's file again, if there is one, and returns the one that is
-// in force from now on. What can't be used of it leaves the old in place. The error is that of a file
-// that could not be opened for want of a descriptor.
+// reloadOperatorFile reads the operator's file again, if there is one, and returns the configuration that
+// is in force from now on. Invalid values leave the old ones in force. It returns an error only if the
+// process had no free descriptor to open the file.
 func reloadOperatorFile(
 	current operatorconfig.File, path string, tokens *tokenResumption,
 ) (operatorconfig.File, error) {
@@ -62,8 +63,8 @@
 		slog.Error("operator file reload rejected, the old one stays", "component", componentReload, "error", err)
 		return current, nil
 	}
-	if fixed := current.ChangedRestartKeys(&next); len(fixed) > 0 {
-		slog.Warn("changed keys need a restart", "component", componentReload, "keys", fixed)
+	if restartKeys := current.ChangedRestartKeys(&next); len(restartKeys) > 0 {
+		slog.Warn("changed keys need a restart", "component", componentReload, "keys", restartKeys)
 	}
 	if err := logging.SetLevel(next.Log.Level); err != nil {
 		slog.Error("log level reload rejected, the old one stays", "component", componentReload, "error", err)
--- a/cmd/coralrelay/serve.go
+++ b/cmd/coralrelay/serve.go
@@ -24,20 +24,20 @@
 	"coralrelay/internal/upstream"
 )
 
-// node is this process: its parts and what they share. The stages of serve fill it in, in
-// their order.
+// node holds the components of this process and their shared state. The stages of serve set its
+// fields, in the order in which they are grouped here.
 type node struct {
 	cfg          config.Config       // as the process was started
 	operatorFile operatorconfig.File // as the process was started
-	operatorPath string              // of operatorFile; empty for none
-	goroutines   sync.WaitGroup      // all that end with the context of start
+	operatorPath string              // of operatorFile; empty if there is none
+	goroutines   sync.WaitGroup      // those that end with the context passed to start
 
-	// Of openListener.
+	// Set by openListener and acquireLock.
 	listener    net.Listener
-	acceptQueue func() int         // how many connections wait to be accepted
-	lock        *instancelock.Lock // nil if this process shares the listener with nobody
+	acceptQueue func() int         // returns the length of the accept queue
+	lock        *instancelock.Lock // nil unless the listener is inherited and may be shared
 
-	// Of build.
+	// Set by build.
 	pool      *upstream.Pool
 	updater   *endpointUpdater
 	watcher   *discovery.Watcher
@@ -47,34 +47,34 @@
 	active    *activeConfig
 	sibling   *siblingMonitor // nil without a lock
 
-	// Of start.
-	resumption *tokenResumption // nil where it is off
+	// Set by start.
+	resumption *tokenResumption // nil if disabled
 	reloadLog  logging.Throttled
 }
 
-// serve runs the node until terminate ends, and then drains it. On each hang-up the
-// configuration is read again, also while the node drains.
+// serve runs the node until terminate ends, and then drains it. It reloads the configuration on
+// each signal from sighups, also while the node drains.
 func serve(
-	terminate context.Context, hangUps <-chan os.Signal,
+	terminate context.Context, sighups <-chan os.Signal,
 	cfg config.Config, operatorFile operatorconfig.File, operatorPath string,
 ) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node{cfg: cfg, operatorFile: operatorFile, operatorPath: operatorPath}
-	defer func() { n.lock.Close() }() // when all has ended: the sibling process goes by it
+	defer func() { n.lock.Close() }() // last: it tells the sibling that this process has ended
 	defer n.goroutines.Wait()
 	defer cancel()
 
 	if err := n.openListener(); err != nil {
 		return err
 	}
-	defer n.listener.Close() // whatever keeps the node from starting
+	defer n.listener.Close() // also if a later stage fails
 	if err := n.acquireLock(); err != nil {
 		return err
 	}
 	if err := n.build(ctx); err != nil {
 		return err
 	}
-	if err := n.start(ctx, hangUps); err != nil {
+	if err := n.start(ctx, sighups); err != nil {
 		return err
 	}
 	n.awaitFirstList(terminate)
@@ -86,7 +86,7 @@
 	return err
 }
 
-// openListener opens the clients' listener, or takes over the one that the platform holds.
+// openListener opens the clients' listener, or uses the socket that the platform passes on.
 func (n *node) openListener() (err error) {
 	listener, err := openClientListener(n.cfg)
 	if err != nil {
@@ -101,22 +101,22 @@
 	return nil
 }
 
-// acquireLock acquires the lock that this process shares with its sibling, if it may have one.
+// acquireLock acquires the lock that this process shares with its sibling, if it may have a sibling.
 func (n *node) acquireLock() (err error) {
 	n.lock, err = acquireInstanceLock(n.cfg, n.listener, n.operatorFile)
 	return err
 }
 
-// build makes the parts of a session's path and joins them. Nothing runs yet.
+// build creates and connects the components that serve sessions. It starts none of them.
 func (n *node) build(ctx context.Context) (err error) {
 	n.cfg.Settings = settings.ForWatch(n.cfg.Settings)
-	if n.lock.IsSiblingAlive() { // a node's start is one of many at once, a successor's its own
+	if n.lock.IsSiblingAlive() { // many nodes may start at once, but a successor starts alone
 		n.cfg.Settings.SubscribeImmediately = true
 	}
 	budget := newDescriptorBudget(n.cfg, n.operatorFile, n.lock)
-	n.cfg.Settings.Limits.ProbeConnections = budget.forProbes()
+	n.cfg.Settings.Limits.ProbeConnections = budget.probeLimit()
 	n.pool = upstream.New(ctx, upstreamLimits(n.cfg.Settings))
-	n.pool.SetProbeConnLimit(budget.forProbes())
+	n.pool.SetProbeConnLimit(budget.probeLimit())
 	n.updater = &endpointUpdater{pool: n.pool, firstListReceived: make(chan struct{})}
 	n.watcher = discovery.New(n.cfg.Discovery, n.updater)
 	clock := dispatch.NewClock()
@@ -144,11 +144,11 @@
 	return nil
 }
 
-// buildServer makes the clients' server, whose share of the descriptors follows the list of
+// buildServer creates the server for clients, whose socket limit depends on the number of listed
 // endpoints.
 func (n *node) buildServer(budget descriptorBudget) {
 	limits := downstream.Limits{
-		Sockets:    budget.forClients(len(n.cfg.CachedEndpoints.Endpoints)),
+		Sockets:    budget.clientLimit(len(n.cfg.CachedEndpoints.Endpoints)),
 		RetryAfter: retryAfter(n.cfg.Settings.Limits),
 	}
 	if n.lock != nil {
@@ -157,12 +157,12 @@
 	}
 	n.server = downstream.New(n.eventLoop, n.pool, limits)
 	n.server.FreeDescriptors = n.pool.CloseIdleProbeConns
-	n.updater.onEndpointCount = func(endpoints int) { n.server.SetSocketLimit(budget.forClients(endpoints)) }
+	n.updater.onEndpointCount = func(endpoints int) { n.server.SetSocketLimit(budget.clientLimit(endpoints)) }
 }
 
-// start opens the sockets of the optional parts and starts all goroutines but the one that
+// start opens the sockets of the optional components and starts all goroutines except the one that
 // accepts clients. They end with ctx.
-func (n *node) start(ctx context.Context, hangUps <-chan os.Signal) (err error) {
+func (n *node) start(ctx context.Context, sighups <-chan os.Signal) (err error) {
 	n.updater.udpListeners, err = startUDP(ctx, &n.goroutines, n.cfg, n.operatorFile.UDP, n.eventLoop, n.pool)
 	if err != nil {
 		return err
@@ -178,9 +178,9 @@
 	if n.resumption != nil {
 		n.server.Resumptions = n.resumption.factory
 	}
-	operations := adminNode{Server: n.server, pool: n.pool, eventLoop: n.eventLoop, watcher: n.watcher,
+	operatorAPI := adminNode{Server: n.server, pool: n.pool, eventLoop: n.eventLoop, watcher: n.watcher,
 		metrics: n.metrics, acceptQueue: n.acceptQueue}
-	if err := startAdmin(ctx, &n.goroutines, n.cfg.AdminAddr, operations); err != nil {
+	if err := startAdmin(ctx, &n.goroutines, n.cfg.AdminAddr, operatorAPI); err != nil {
 		return err
 	}
 	if err := startAgentClient(ctx, &n.goroutines, n.operatorFile.Fleet, n.eventLoop); err != nil {
@@ -188,12 +188,12 @@
 	}
 	n.goroutines.Go(func() { n.eventLoop.Run(ctx) })
 	n.goroutines.Go(func() { n.watcher.Run(ctx, n.cfg.CachedEndpoints) })
-	n.goroutines.Go(func() { n.reloadOnHangUp(ctx, hangUps) })
+	n.goroutines.Go(func() { n.reloadOnSIGHUP(ctx, sighups) })
 	n.listenForSessions(ctx)
 	return nil
 }
 
-// listenForSessions lets the sibling process hand its sessions over to this one.
+// listenForSessions starts to receive the sessions that the sibling process hands over.
 func (n *node) listenForSessions(ctx context.Context) {
 	if n.lock == nil {
 		return
@@ -204,16 +204,16 @@
 	}
 }
 
-// acceptClients starts to accept clients. The channel has the server's error once its
-// listener is closed.
+// acceptClients starts to accept clients. The returned channel receives the server's error after the
+// listener has been closed.
 func (n *node) acceptClients(terminate context.Context) <-chan error {
-	if pending, ok := terminate.(settler); ok {
-		pending.Settle()
+	if pending, ok := terminate.(signalFlusher); ok {
+		pending.FlushPending()
 	}
-	if terminate.Err() != nil { // in the start: no client is served at all
+	if terminate.Err() != nil { // terminated during the start: all clients are rejected
 		n.startDraining()
 	}
-	n.lock.SetServing(true) // before any client can see it
+	n.lock.SetServing(true) // before any client is accepted
 	served := make(chan error, 1)
 	n.goroutines.Go(func() { served <- n.server.Serve(n.listener) })
 	slog.Info("serving", "component", componentNode, "name", n.cfg.Name, "listen", n.cfg.Listen,
@@ -221,7 +221,7 @@
 	return served
 }
 
-// startDraining has new clients rejected from now on, unless a sibling process may serve them.
+// startDraining rejects new clients from now on, unless a sibling process is alive that may serve them.
 func (n *node) startDraining() {
 	if !n.lock.IsSiblingAlive() {
 		n.server.StartDraining(time.Now())
--- a/cmd/coralrelay/sibling.go
+++ b/cmd/coralrelay/sibling.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// instanceLockTimeout is how long a process waits for a slot beside its sibling: the last
-	// process but one may still be ending.
+	// instanceLockTimeout bounds the wait for the second slot of the instance lock, which the sibling's
+	// own predecessor may still hold until it has exited.
 	instanceLockTimeout = 4 * time.Second
-	// firstListTimeout is how long a successor waits for discovery before it takes clients by
-	// the list that the node had last. It has 6 s to become ready.
+	// firstListTimeout bounds a successor's wait for discovery, after which it accepts clients with the
+	// last list that the node had. A successor has 6 s to become ready.
 	firstListTimeout = 2 * time.Second
-	// siblingReservedSockets are what a process needs besides its clients and their attempts:
-	// operators' calls, probes, discovery, listeners.
+	// siblingReservedSockets are the sockets that a process needs besides those of its clients and their
+	// attempts: for operators' calls, probes, discovery and listeners.
 	siblingReservedSockets = admin.MaxCalls + 24
-	// siblingPollInterval bounds the age of what is known of the sibling process.
+	// siblingPollInterval is how often the state of the sibling process is read.
 	siblingPollInterval = 50 * time.Millisecond
 )
 
-// acquireInstanceLock acquires the lock that this process shares with its sibling; nil where
-// there can be none. If the sibling holds state that can't be handed over, the start fails
-// and the sibling is not disturbed.
+// acquireInstanceLock acquires the lock that this process shares with its sibling. It returns nil if
+// there can be no sibling because the listener is not inherited. If the sibling holds state that can't
+// be handed over, acquireInstanceLock fails and the sibling goes on serving.
 func acquireInstanceLock(
 	cfg config.Config, listener net.Listener, operatorFile operatorconfig.File,
 ) (*instancelock.Lock, error) {
@@ -46,31 +46,31 @@
 	if err != nil || !lock.IsSiblingAlive() {
 		return lock, err
 	}
-	exclusive := ""
+	exclusiveState := ""
 	switch {
 	case operatorFile.Resume.Enabled:
-		exclusive = "resume.enabled: the replay guard's store"
+		exclusiveState = "resume.enabled: the replay guard's store"
 	case operatorFile.UDP.Listen != "":
-		exclusive = "udp.listen: the flows' socket"
+		exclusiveState = "udp.listen: the flows' socket"
 	default:
 		return lock, nil
 	}
 	lock.Close()
-	return nil, fmt.Errorf("%s is held by the process that serves here and can't be taken over: end that one first",
-		exclusive)
+	return nil, fmt.Errorf("%s is held by the serving process and can't be handed over; terminate it first",
+		exclusiveState)
 }
 
-// siblingMonitor knows the sibling process as it was a moment ago, so that nobody who asks
-// waits for a file.
+// siblingMonitor keeps a recent copy of the sibling process's state, so that reading it needs no file
+// access.
 type siblingMonitor struct {
 	lock         *instancelock.Lock
-	socketsInUse atomic.Int64 // by the sibling, with what is reserved for it
+	socketsInUse atomic.Int64 // the sibling's sockets, including siblingReservedSockets
 }
 
 func (m *siblingMonitor) usedElsewhere() int { return int(m.socketsInUse.Load()) }
 
-// run exchanges the counts of sockets with the sibling process, and leaves half of the memory
-// to it while it is alive, until ctx ends. onSiblingChange is called when it appears or ends.
+// run exchanges the counts of sockets with the sibling process until ctx ends, and halves this process's
+// memory limit while the sibling is alive. It calls onSiblingChange when the sibling starts or ends.
 func (m *siblingMonitor) run(
 	ctx context.Context, limits config.Limits, ownSockets func() int, onSiblingChange func(alive bool),
 ) {
@@ -96,8 +96,9 @@
 	}
 }
 
-// awaitFirstList waits for the first list from discovery while the sibling process is alive, which
-// serves meanwhile; without it, clients would wait too. It does not wait for long.
+// awaitFirstList waits for the first list from discovery, for at most firstListTimeout, while the sibling
+// process is alive and serves the clients. Without a sibling it returns at once, because clients would
+// have to wait too.
 func (n *node) awaitFirstList(terminate context.Context) {
 	timeout, poll := time.NewTimer(firstListTimeout), time.NewTicker(siblingPollInterval)
 	defer timeout.Stop()
@@ -114,7 +115,8 @@
 	}
 }
 
-// handoverReceiver takes over what the sibling process hands over. It is a hotrestart.Receiver.
+// handoverReceiver adopts the sessions and the learned state that the sibling process hands over. It is
+// a hotrestart.Receiver.
 type handoverReceiver struct {
 	*downstream.Server
 	eventLoop *dispatch.EventLoop
--- a/cmd/coralrelay/signals.go
+++ b/cmd/coralrelay/signals.go
@@ -9,31 +9,34 @@
 )
 
 const (
-	// barrierSignal is sent by this process to itself, and does nothing but pass through the queue of
-	// signals behind those that came before it. The kernel and the runtime deliver waiting signals in
-	// the order of their numbers, so it must have a higher one than those that end the process.
+	// barrierSignal is sent by the process to itself; its arrival shows that the signals that were
+	// pending before it have been delivered. It has no other effect. The kernel and the runtime deliver
+	// pending signals in the order of their numbers, so its number must be higher than the numbers of
+	// the signals that terminate the process.
 	barrierSignal = syscall.SIGWINCH
-	// barrierTimeout bounds the wait for it, where a process may not send itself a signal.
+	// barrierTimeout bounds the wait for barrierSignal where it is not delivered, because the process
+	// may not send itself signals.
 	barrierTimeout = 200 * time.Millisecond
 )
 
-// termination ends when the process is told to end.
+// termination is a context that ends when the process receives SIGTERM or an interrupt.
 type termination struct {
 	context.Context
 	barrierPassed chan struct{}
 }
 
-// settler is a context whose end may be on its way.
-type settler interface {
-	// Settle returns when the context has ended if what ends it had come before.
-	Settle()
+// signalFlusher is a context that is ended by signals, some of which may not have been delivered yet.
+type signalFlusher interface {
+	// FlushPending waits until the signals sent before the call have been delivered: if one of them
+	// ends the context, the context has ended when FlushPending returns.
+	FlushPending()
 }
 
-// watchTermination returns a termination. The signals are never given back: another one at the last
-// moment would cut the drain short. Its goroutine ends with the process.
+// watchTermination returns a termination. The signals stay caught until the process ends, because by
+// default a second one would end the process during the drain. The goroutine ends with the process.
 func watchTermination() *termination {
 	ctx, cancel := context.WithCancel(context.Background())
-	watched := &termination{Context: ctx, barrierPassed: make(chan struct{}, 1)}
+	term := &termination{Context: ctx, barrierPassed: make(chan struct{}, 1)}
 	received := make(chan os.Signal, 16)
 	signal.Notify(received, syscall.SIGTERM, os.Interrupt, barrierSignal)
 	go func() {
@@ -43,16 +46,16 @@
 				continue
 			}
 			select {
-			case watched.barrierPassed <- struct{}{}:
+			case term.barrierPassed <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	return watched
+	return term
 }
 
-// Settle implements settler.
-func (t *termination) Settle() {
+// FlushPending implements signalFlusher.
+func (t *termination) FlushPending() {
 	if syscall.Kill(os.Getpid(), barrierSignal) != nil {
 		return
 	}
--- a/cmd/coralrelay/sloreporter.go
+++ b/cmd/coralrelay/sloreporter.go
@@ -9,25 +9,24 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// maxPendingSamples bounds the samples that wait for the next report: older ones are too late
-// for the agent.
+// maxPendingSamples bounds the samples that wait for the next report. The agent can't use older ones
+// any more.
 const maxPendingSamples = 2
 
-// sloReporter samples response times by contract and region, for the agents that steer
-// traffic by them.
+// sloReporter samples response times by contract and region. The agents steer traffic by these samples.
 type sloReporter struct {
 	eventLoop    *dispatch.EventLoop
-	regionByZone map[string]string // of the zones that are in a region
+	regionByZone map[string]string // only zones that belong to a region
 	now          func() time.Duration
 
-	// Of the event loop's goroutine.
+	// The following fields are used on the event loop's goroutine only.
 	recorder         *slo.Recorder
 	regionByEndpoint map[string]string
 	pending          []slo.Sample
-	contractsVersion uint64 // of the contracts that are measured
+	contractsVersion uint64 // version of the contracts that the recorder measures
 }
 
-// addSLOReporter has the client report what the node measures, where SLOs are switched on.
+// addSLOReporter adds the node's latency samples to the client's reports, if SLOs are enabled.
 func addSLOReporter(client *agentapi.Client, fleet operatorconfig.Fleet, eventLoop *dispatch.EventLoop) {
 	if !fleet.SLO.Enabled {
 		return
@@ -49,14 +48,15 @@
 	})
 }
 
-// recordAttempt is called on the event loop for each attempt that has an answer.
-func (r *sloReporter) recordAttempt(contract, endpoint string, took time.Duration) {
+// recordAttempt records the latency of an attempt. It is called on the event loop for each attempt that
+// was answered.
+func (r *sloReporter) recordAttempt(contract, endpoint string, latency time.Duration) {
 	if region, ok := r.regionByEndpoint[endpoint]; ok {
-		r.queueSample(r.recorder.Record(r.now(), contract, region, took))
+		r.queueSample(r.recorder.Record(r.now(), contract, region, latency))
 	}
 }
 
-// queueSample keeps a sample for the next report; nil is none.
+// queueSample keeps a sample for the next report. A nil sample is ignored.
 func (r *sloReporter) queueSample(sample *slo.Sample) {
 	if sample == nil {
 		return
@@ -67,13 +67,13 @@
 	r.pending = append(r.pending, *sample)
 }
 
-// fillReport adds the samples of the intervals that are over.
+// fillReport adds the samples of completed intervals to the report.
 func (r *sloReporter) fillReport(report *agentapi.Report) {
 	regionByEndpoint := make(map[string]string, len(report.Servers))
 	for _, endpoint := range report.Servers {
 		if region, ok := r.regionByZone[endpoint.Zone]; ok {
 			regionByEndpoint[endpoint.ID] = region
-		} else if endpoint.Zone != "" { // a region of its own
+		} else if endpoint.Zone != "" { // a zone without a region is a region of its own
 			regionByEndpoint[endpoint.ID] = endpoint.Zone
 		}
 	}
@@ -84,8 +84,8 @@
 	})
 }
 
-// applyContracts measures other contracts from now on. Those on messages are left out: the node
-// relays messages without knowing which answers which.
+// applyContracts replaces the measured contracts. It leaves out contracts on message latency: the node
+// relays messages and can't match answers to requests.
 func (r *sloReporter) applyContracts(list *agentapi.ContractList) {
 	if list == nil {
 		return
--- a/cmd/coralrelay/tokenresumption.go
+++ b/cmd/coralrelay/tokenresumption.go
@@ -15,14 +15,15 @@
 	"coralrelay/internal/store"
 )
 
-// tokenResumption lets migrated clients resume their streams with a token. It is nil where that
-// is not switched on.
+// tokenResumption lets migrated clients resume their streams with a token. It is nil if the feature is
+// disabled.
 type tokenResumption struct {
 	service *replayguard.Service
 	factory resumption.Factory
 }
 
-// startTokenResumption starts it, if the operator's file says so. Its goroutines end with ctx.
+// startTokenResumption starts token resumption, if the operator's file enables it. Its goroutines end with
+// ctx.
 func startTokenResumption(
 	ctx context.Context, goroutines *sync.WaitGroup, name string, options operatorconfig.Resume,
 ) (*tokenResumption, error) {
@@ -56,9 +57,9 @@
 	return &tokenResumption{service: service, factory: resumption.Factory{Tokens: service}}, nil
 }
 
-// openReplayGuard opens the store of spent tokens. A store that can't be opened must not keep the
-// node from serving, as on a disk that is full or read-only; one that another process holds must,
-// since two nodes may never share a directory.
+// openReplayGuard opens the store of spent tokens. If the store can't be opened, for instance because
+// the disk is full or read-only, the node serves without it. If another process holds the store,
+// openReplayGuard fails and the node does not start, since two nodes must never share a directory.
 func openReplayGuard(options operatorconfig.Resume) (*replayguard.Guard, error) {
 	guard, err := replayguard.Open(replayguard.Options{
 		Dir:        options.ReplayGuard.Dir,
@@ -76,7 +77,7 @@
 	return guard, nil
 }
 
-// loadServiceConfig reads the keys, and takes the times from the options.
+// loadServiceConfig loads the keys from their directory and the durations from the options.
 func loadServiceConfig(options operatorconfig.Resume) (replayguard.ServiceConfig, error) {
 	ring, err := keyfile.Load(options.KeyDir)
 	if err != nil {
@@ -90,7 +91,7 @@
 	}, nil
 }
 
-// updateConfig takes other keys and times; with an error the old ones stay.
+// updateConfig loads the keys and durations again. If it returns an error, the old ones stay in force.
 func (r *tokenResumption) updateConfig(options operatorconfig.Resume) error {
 	if r == nil || !options.Enabled {
 		return nil
@@ -102,7 +103,8 @@
 	return err
 }
 
-// beginDraining prepares for the end of the node.
+// beginDraining makes peers the arbiters of the tokens that are minted from now on, because this node is
+// about to end.
 func (r *tokenResumption) beginDraining() {
 	if r != nil {
 		r.service.BeginDraining()
--- a/cmd/coralrelay/udp.go
+++ b/cmd/coralrelay/udp.go
@@ -15,8 +15,8 @@
 	"coralrelay/internal/udp"
 )
 
-// startUDP starts the listeners for datagrams, if the operator's file names an address for them;
-// else it returns nil. Their goroutine ends with ctx.
+// startUDP starts the UDP listeners if the operator's file has an address for them; otherwise it returns
+// nil. Their goroutine ends with ctx.
 func startUDP(
 	ctx context.Context, goroutines *sync.WaitGroup, cfg config.Config, options operatorconfig.UDP,
 	eventLoop udp.Dispatcher, pool udp.Endpoints,
@@ -35,7 +35,7 @@
 		}
 	}
 	if options.Class != "" && class.Name != options.Class {
-		return nil, fmt.Errorf("udp.class: %q is none of the settings' classes", options.Class)
+		return nil, fmt.Errorf("udp.class: class %q is not among the settings' classes", options.Class)
 	}
 	listeners, err := udp.Open(udpOptions(listen, class, options), runtime.GOMAXPROCS(0), eventLoop, pool)
 	if err != nil {
@@ -47,14 +47,14 @@
 	return listeners, nil
 }
 
-// flowPolicies are the values of udp.policy: what happens to new flows when the table is full.
+// flowPolicies maps the values of udp.policy to the treatment of new flows when the table is full.
 var flowPolicies = map[string]flowtable.Policy{
 	"reserve": flowtable.Reserve,
 	"refuse":  flowtable.RefuseNew,
 	"idle":    flowtable.EvictIdle,
 }
 
-// udpOptions are the options of the operator's file, as the listeners take them.
+// udpOptions converts the options of the operator's file to those of the listeners.
 func udpOptions(listen netip.AddrPort, class balance.Class, options operatorconfig.UDP) udp.Options {
 	return udp.Options{
 		Listen:        listen,
