--- a/cmd/coralrelay/activeconfig_test.go
+++ b/cmd/coralrelay/activeconfig_test.go
@@ -15,8 +15,9 @@
 	"coralrelay/internal/testsocket"
 )
 
-// expectOperations requires the metrics of three classes and of the relay: what was on the sockets.
-func expectOperations(p *process, relayed int32) {
+// expectOperationMetrics requires that the metrics of the three classes and of the relay match the requests
+// that were sent.
+func expectOperationMetrics(p *process, relayed int32) {
 	p.t.Helper()
 	want := ""
 	for _, c := range []struct {
@@ -31,15 +32,16 @@
 	p.untilMetrics(want + fmt.Sprintf("balancer.relayed:%d|c\r\n", relayed))
 }
 
-// New settings come into force at a hang-up, all of a file or none: classes appear and vanish,
-// sessions keep their own, and the metrics show what was on the sockets.
-func TestHangUpAppliesSettings(t *testing.T) {
-	var got atomic.Int32
+// SIGHUP applies the new settings of a valid file as a whole, and nothing of an invalid file. Classes are
+// added and removed, sessions keep the class they were opened with, and the metrics match the requests that
+// were sent.
+func TestSIGHUPAppliesSettings(t *testing.T) {
+	var firstLines atomic.Int32
 	calls := make(chan string, 8)
 	discovery := func(name string) string {
 		return testsocket.Serve(t, func(conn net.Conn) { calls <- name; _, _ = io.Copy(io.Discard, conn) })
 	}
-	upstreamAddr := testsocket.Serve(t, serveUpstream(&got))
+	upstreamAddr := testsocket.Serve(t, serveUpstream(&firstLines))
 	addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, addr, discovery("first"), upstreamAddr, 1024)
 	raw, err := os.ReadFile(path)
@@ -51,7 +53,7 @@
 	if name := <-calls; name != "first" {
 		t.Fatal(name)
 	}
-	hangUp := func(text string, accepted, invalid int) {
+	reload := func(text string, accepted, invalid int) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -64,29 +66,29 @@
 	}
 	session := openSession(t, addr, "a")
 	if s := openClass("b", "feed_new"); s != "ERR" {
-		t.Errorf("a class to come: %q", s)
+		t.Errorf("a class that is not defined yet: %q", s)
 	}
 
 	class := string(raw[strings.Index(string(raw), `{"name":"feed"`):strings.Index(string(raw), `],`+"\n")])
 	both := strings.Replace(string(raw), class, class+","+strings.Replace(class, "feed", "feed_new", 1), 1)
-	hangUp(both, 1, 0)
+	reload(both, 1, 0)
 	if s, u := openClass("c", "feed_new"), openClass("d", "feed"); s != "UP r1" || u != "UP r1" {
-		t.Errorf("a class that has appeared: %q, one that was there: %q", s, u)
+		t.Errorf("the added class: %q, the existing class: %q", s, u)
 	}
 
-	elsewhere := discovery("of a bad file")
+	elsewhere := discovery("of an invalid file")
 	bad := strings.Replace(both, "1.2", "-5", 1)
 	bad = strings.Replace(bad, `"discovery":"`, `"discovery":"`+elsewhere+`","was":"`, 1)
 	for i, text := range []string{bad, "", bad[:len(bad)/2], strings.Replace(both, `"mostTries":6,`, "", 1)} {
-		hangUp(text, 1, i+1)
+		reload(text, 1, i+1)
 	}
 
-	hangUp(strings.ReplaceAll(string(raw), `"feed"`, `"other"`), 2, 4)
+	reload(strings.ReplaceAll(string(raw), `"feed"`, `"other"`), 2, 4)
 	if s, u := openClass("e", "feed"), openClass("f", "other"); s != "ERR" || u != "UP r1" {
-		t.Errorf("a class that has vanished: %q, the one that stays: %q", s, u)
+		t.Errorf("the removed class: %q, its replacement: %q", s, u)
 	}
 	session.expectRelayed("the session")
-	expectOperations(p, got.Load())
+	expectOperationMetrics(p, firstLines.Load())
 	select {
 	case name := <-calls:
 		t.Errorf("the discovery %s was called", name)
@@ -96,22 +98,23 @@
 	p.expectLogged("settings.classes[0].deadline", "settings.limits.mostTries", "BALANCER_CONFIG")
 }
 
-// expectDiscovery waits for the next call of a discovery, or for the end of one.
-func expectDiscovery(t *testing.T, calls <-chan net.Conn, hasEnded bool, what string) {
+// expectDiscoveryEvent waits for the next event of a discovery, and requires that it is the end of a call if
+// hasEnded is set, or else the start of one.
+func expectDiscoveryEvent(t *testing.T, calls <-chan net.Conn, hasEnded bool, what string) {
 	t.Helper()
 	select {
 	case conn := <-calls:
 		if hasEnded != (conn == nil) {
-			t.Fatal("not so: " + what)
+			t.Fatal("unexpected event in place of: " + what)
 		}
 	case <-time.After(4 * time.Second):
-		t.Fatal("not within 4 s: " + what)
+		t.Fatal("no event within 4 s: " + what)
 	}
 }
 
-// At a hang-up the node follows the discovery that the file names, although its environment still
-// has the first; a file that can't be used changes nothing; hang-ups while it drains do no harm.
-func TestHangUpReloadsDiscovery(t *testing.T) {
+// At SIGHUP the node switches to the discovery address in the file, although BALANCER_DISCOVERY still has the
+// first one. An invalid file changes nothing, and SIGHUP during the drain has no effect on it.
+func TestSIGHUPReloadsDiscovery(t *testing.T) {
 	discovery := func() (string, <-chan net.Conn) {
 		calls := make(chan net.Conn, 8)
 		return testsocket.Serve(t, func(conn net.Conn) {
@@ -121,8 +124,8 @@
 			calls <- nil
 		}), calls
 	}
-	var got atomic.Int32
-	upstreamAddr := testsocket.Serve(t, serveUpstream(&got))
+	var firstLines atomic.Int32
+	upstreamAddr := testsocket.Serve(t, serveUpstream(&firstLines))
 	addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	first, firstCalls := discovery()
 	second, secondCalls := discovery()
@@ -131,12 +134,12 @@
 	p := startProcess(t, path, t.TempDir(), nil)
 	awaitListening(t, addr)
 	session := openSession(t, addr, "a")
-	expectDiscovery(t, firstCalls, false, "the first discovery is watched")
+	expectDiscoveryEvent(t, firstCalls, false, "the first discovery is watched")
 
 	writeConfig(t, path, addr, second, upstreamAddr, 1024)
 	p.signal(syscall.SIGHUP)
-	expectDiscovery(t, secondCalls, false, "the second discovery is watched")
-	expectDiscovery(t, firstCalls, true, "the first watch is dropped")
+	expectDiscoveryEvent(t, secondCalls, false, "the second discovery is watched")
+	expectDiscoveryEvent(t, firstCalls, true, "the first watch is dropped")
 
 	if err := os.WriteFile(path, []byte(`{"discovery":7}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -144,15 +147,15 @@
 	for range 3 {
 		p.signal(syscall.SIGHUP)
 	}
-	session.expectRelayed("after a bad file")
+	session.expectRelayed("after an invalid file")
 	if s := dialClient(t, addr, openLine("b")).readLine(); s != "UP r1" {
-		t.Errorf("a client after a bad file: %q", s)
+		t.Errorf("a client after an invalid file: %q", s)
 	}
 	p.signal(syscall.SIGTERM)
 	if s := session.readLine(); s != "MOVE" {
-		t.Errorf("at the restart %q", s)
+		t.Errorf("the session at SIGTERM: %q", s)
 	}
 	p.signal(syscall.SIGHUP)
 	p.expectExit()
-	expectDiscovery(t, secondCalls, true, "the second watch ends with the node, and none came between")
+	expectDiscoveryEvent(t, secondCalls, true, "the second watch ends with the node, and no call came before")
 }
--- a/cmd/coralrelay/admin_test.go
+++ b/cmd/coralrelay/admin_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// LAMEDUCK drains the node: at once it answers PING with no, clients that still come are served and
-// then migrated with the others, and later they get a busy answer. REJOIN ends it, in its middle
-// too, a hang-up changes nothing of it, and SIGTERM ends the process.
+// LAMEDUCK drains the node: PING is answered with 400 at once; clients that still connect are served at first
+// and migrated with the others, and are rejected with BUSY later. REJOIN ends the drain at any point, SIGHUP
+// does not affect it, and SIGTERM ends the process.
 func TestLameDuckAndRejoin(t *testing.T) {
 	p, addr, _, _ := startServingNode(t, 1024)
 	expectAnswer := func(call, want string) {
@@ -19,17 +19,17 @@
 			t.Fatalf("%s: %q, want %q", call, s, want)
 		}
 	}
-	expectAnswer("REJOIN", "200") // without a drain
+	expectAnswer("REJOIN", "200") // while the node does not drain
 	expectAnswer("LAMEDUCK", "200")
 	expectAnswer("PING", "400")
-	expectAnswer("REJOIN", "200") // of an empty node
+	expectAnswer("REJOIN", "200") // while the node has no sessions
 	expectAnswer("PING", "200")
 
 	var sessions []*client
 	for i := range 8 {
 		sessions = append(sessions, openSession(t, addr, fmt.Sprint("a", i)))
 	}
-	begun := time.Now()
+	start := time.Now()
 	expectAnswer("LAMEDUCK", "200")
 	expectAnswer("PING", "400")
 	if s := dialClient(t, addr, "PING\r\n").readLine(); s == "PONG" {
@@ -43,8 +43,8 @@
 			t.Errorf("session %d: %q", i, s)
 		}
 	}
-	if took := time.Since(begun); took > 3500*time.Millisecond || took < time.Second {
-		t.Errorf("it was emptied within %v", took)
+	if took := time.Since(start); took > 3500*time.Millisecond || took < time.Second {
+		t.Errorf("the sessions were migrated within %v, want 1 s to 3.5 s", took)
 	}
 	p.untilMetrics("balancer.open_requests:0|g\r\n")
 	p.untilMetrics("balancer.cfg_accepted:1|c\r\n")
@@ -64,8 +64,8 @@
 	p.expectMoveAndExit(session)
 }
 
-// However many clients there are, operators are answered: the descriptors that they need are
-// reserved for them.
+// Operators are answered however many clients are connected, because descriptors are reserved for their
+// calls.
 func TestOperatorsAreAnsweredUnderOverload(t *testing.T) {
 	t.Setenv("TEST_NOFILE", "64")
 	p, addr, _, _ := startServingNode(t, 64)
@@ -82,6 +82,6 @@
 		}
 	}
 	if s := dialClient(t, addr, openLine("a")).readLine(); s != "UP r1" {
-		t.Errorf("an ordinary client: %q", s)
+		t.Errorf("a client with a valid request: %q", s)
 	}
 }
--- a/cmd/coralrelay/client_test.go
+++ b/cmd/coralrelay/client_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// client is a client's connection.
+// client is one client connection to the node.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 	t      *testing.T
 }
 
-// dialClient connects a client and sends a text.
+// dialClient connects to addr and sends text.
 func dialClient(t *testing.T, addr, text string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -30,7 +30,7 @@
 	return &client{conn, bufio.NewReader(conn), t}
 }
 
-// readLine reads a line, which must come, without its end.
+// readLine reads one line and returns it without its line end. It fails the test if no line arrives.
 func (c *client) readLine() string {
 	c.t.Helper()
 	s, err := c.reader.ReadString('\n')
@@ -40,7 +40,7 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-// readToEnd reads to the end, which must be no reset.
+// readToEnd reads until the end of the connection, which must not be a reset.
 func (c *client) readToEnd() string {
 	c.t.Helper()
 	text, err := io.ReadAll(c.reader)
@@ -50,10 +50,10 @@
 	return string(text)
 }
 
-// openLine is a first line with an id.
+// openLine returns a first line that opens a session with the given id.
 func openLine(id string) string { return "OPEN " + id + " k1 c=feed,d=1200,g=5c\r\n" }
 
-// openSession opens a session, which must be accepted.
+// openSession opens a session and requires that it is accepted.
 func openSession(t *testing.T, addr, id string) *client {
 	t.Helper()
 	c := dialClient(t, addr, openLine(id))
@@ -63,7 +63,7 @@
 	return c
 }
 
-// expectRelayed requires that the session works.
+// expectRelayed requires that the session relays a request and its answer.
 func (c *client) expectRelayed(when string) {
 	c.t.Helper()
 	fmt.Fprint(c, "are you there\r\n")
--- a/cmd/coralrelay/command_test.go
+++ b/cmd/coralrelay/command_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each command line serves, prints, or fails with a text that names what is wrong.
+// Each command line serves, prints, or fails with an error that names the invalid argument.
 func TestRunCommand(t *testing.T) {
 	for _, tt := range []struct {
 		args, served, prints, fails string
--- a/cmd/coralrelay/drain_test.go
+++ b/cmd/coralrelay/drain_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Migrated clients come again through the front, which sends them here for as long as it does not
-// know of the restart: also with short deadlines none is migrated before it knows.
+// Migrated clients reconnect through the front, which would send them back to this node until it has learned
+// of the restart. No client is migrated before that, even if the deadlines are short.
 func TestDrainPlanOfRestart(t *testing.T) {
 	const ms = time.Millisecond
 	startedAt := time.Unix(1, 0)
@@ -15,11 +15,11 @@
 	} {
 		plan := newDrainPlan(startedAt, longest)
 		if got := plan.MoveStartAt.Sub(startedAt); got != from || plan.RejectAt != startedAt {
-			t.Errorf("%v: moves begin after %v, want %v", longest, got, from)
+			t.Errorf("longest deadline %v: migrations begin after %v, want %v", longest, got, from)
 		}
 		moveEnd, end := plan.MoveEndAt.Sub(startedAt), plan.EndAt.Sub(startedAt)
 		if plan.MoveEndAt.Before(plan.MoveStartAt) || !plan.MoveEndAt.Before(plan.EndAt) || end > longest+700*ms {
-			t.Errorf("%v: moves until %v, the end after %v", longest, moveEnd, end)
+			t.Errorf("longest deadline %v: migrations until %v, the end after %v", longest, moveEnd, end)
 		}
 	}
 }
--- a/cmd/coralrelay/exhausted_test.go
+++ b/cmd/coralrelay/exhausted_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitDescriptors leaves a process no descriptor beyond those that it holds, until the function that is returned is
-// called.
+// limitDescriptors keeps the process from opening any descriptor beyond those that it holds, until restore
+// is called.
 func (p *process) limitDescriptors() (restore func()) {
 	p.t.Helper()
 	lowestFree := uint64(0)
@@ -22,7 +22,8 @@
 	return p.limitDescriptorsTo(lowestFree)
 }
 
-// limitDescriptorsTo leaves a process no new descriptor from a number on, until the function that is returned is called.
+// limitDescriptorsTo keeps the process from opening a descriptor with the given number or a higher one, until
+// restore is called.
 func (p *process) limitDescriptorsTo(number uint64) (restore func()) {
 	p.t.Helper()
 	var before unix.Rlimit
@@ -47,9 +48,8 @@
 	return err == nil
 }
 
-// A process that is left no descriptor beyond those that it holds answers its clients all the same, before they give up:
-// one that can close an idle probe connection, and one that has nothing to give up. Once it has descriptors again it
-// serves.
+// A process that can open no further descriptor still answers its clients before their deadline, whether
+// it has an idle probe connection to close or not. It serves as soon as it can open descriptors again.
 func TestAnswersWithoutDescriptors(t *testing.T) {
 	for _, hasProbed := range []bool{true, false} {
 		p, addr, _, _ := startServingNode(t, 1024)
@@ -65,21 +65,22 @@
 	}
 }
 
-// expectAnsweredInTime has some clients come at the same moment, each of which must have its answer before it gives up.
+// expectAnsweredInTime connects several clients at the same time and requires that each is answered
+// before its deadline.
 func expectAnsweredInTime(t *testing.T, addr string) {
 	t.Helper()
-	const clients, patience = 8, 1200 * time.Millisecond // that of openLine
+	const clients, deadline = 8, 1200 * time.Millisecond // the deadline in openLine
 	var opened []*client
-	begun := time.Now()
+	start := time.Now()
 	for i := range clients {
 		c := dialClient(t, addr, openLine(fmt.Sprint("u", i)))
-		_ = c.SetDeadline(begun.Add(patience))
+		_ = c.SetDeadline(start.Add(deadline))
 		opened = append(opened, c)
 	}
 	for i, c := range opened {
 		answer, err := c.reader.ReadString('\n')
 		if !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY ") {
-			t.Errorf("client %d has read %q, %v after %v", i, answer, err, time.Since(begun))
+			t.Errorf("client %d: read %q, %v after %v", i, answer, err, time.Since(start))
 		}
 	}
 }
--- a/cmd/coralrelay/flood_test.go
+++ b/cmd/coralrelay/flood_test.go
@@ -16,19 +16,19 @@
 	"coralrelay/internal/testsocket"
 )
 
-// discoveryProxy stands before a discovery and can be taken down.
+// discoveryProxy forwards calls to a discovery, and can simulate an outage of it.
 type discoveryProxy struct {
-	behind  string // the discovery's address
-	isDown  atomic.Bool
-	watches sync.Map     // both ends of each
-	watched atomic.Int32 // watches so far
+	backendAddr string // the discovery's address
+	isDown      atomic.Bool
+	watches     sync.Map     // open watches: from the node's connection to the discovery's
+	watched     atomic.Int32 // number of watches so far
 }
 
 func (d *discoveryProxy) serve(conn net.Conn) {
 	if d.isDown.Load() {
 		return
 	}
-	to, err := net.Dial("tcp", d.behind)
+	to, err := net.Dial("tcp", d.backendAddr)
 	if err != nil {
 		return
 	}
@@ -40,7 +40,7 @@
 	_, _ = io.Copy(conn, to)
 }
 
-// takeDown ends all watches, and those to come until isDown is false again.
+// takeDown ends all watches, and the proxy closes new calls until isDown is false again.
 func (d *discoveryProxy) takeDown() {
 	d.isDown.Store(true)
 	d.watches.Range(func(conn, to any) bool {
@@ -50,8 +50,8 @@
 	})
 }
 
-// startDiscoveryProxy starts one before a discovery that lists so many endpoints, s1 first, which
-// the node knows by its configuration.
+// startDiscoveryProxy starts a proxy for a discovery that lists the given number of endpoints. The first one,
+// s1, is also in the node's configuration.
 func startDiscoveryProxy(t *testing.T, endpoints int, upstreamAddr string) (d *discoveryProxy, addr string) {
 	t.Helper()
 	list := fake.NewDiscovery()
@@ -59,16 +59,17 @@
 	for i := range endpoints {
 		list.Set(fmt.Sprint("s", i+1), fake.Active, time.Time{}, map[string]string{"n0": upstreamAddr})
 	}
-	behind, err := list.Listen("n0")
+	backendAddr, err := list.Listen("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = &discoveryProxy{behind: behind}
+	d = &discoveryProxy{backendAddr: backendAddr}
 	return d, testsocket.Serve(t, d.serve)
 }
 
-// floodConnections has one client of a flood connect all the time, until stopped is closed, and
-// keep the last hundred connections: silent, with what is no line, or with sessions.
+// floodConnections connects to addr again and again until stopped is closed, as one client of a flood,
+// and keeps the last hundred connections open. They are silent, send an invalid or endless line, or open
+// sessions.
 func floodConnections(addr string, n int, stopped <-chan struct{}) {
 	var kept []net.Conn
 	defer func() {
@@ -95,8 +96,9 @@
 	}
 }
 
-// expectServedOrBusy requires that an ordinary client in a flood is served, or told when to come again. That is half
-// of maxRetryAfter, 500 ms, where its request is not read, and else a third of its deadline, give or take a half.
+// expectServedOrBusy requires that a normal client is served during a flood, or rejected with a
+// Retry-After. The Retry-After is half of maxRetryAfter, 500 ms, if the request was not read, and
+// otherwise a third of the client's deadline, plus or minus a half of that.
 func expectServedOrBusy(t *testing.T, addr string) {
 	t.Helper()
 	const least, most = 200, 600 // milliseconds
@@ -105,27 +107,27 @@
 	_, err := fmt.Sscanf(answer, "BUSY %d", &retryAfter)
 	isBusy := err == nil && (retryAfter >= least && retryAfter <= most)
 	if answer != "UP r1" && !isBusy {
-		t.Errorf("an ordinary client in the flood: %q", answer)
+		t.Errorf("a normal client during the flood: %q", answer)
 	}
 }
 
-// expectServed requires that an ordinary client is served within 4 s after a flood.
+// expectServed requires that a normal client is served within 4 s, for instance after a flood.
 func expectServed(t *testing.T, addr string) {
 	t.Helper()
-	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-		c := dialClient(t, addr, openLine(fmt.Sprint("after", begun.UnixNano())))
+	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+		c := dialClient(t, addr, openLine(fmt.Sprint("after", start.UnixNano())))
 		if c.readLine() == "UP r1" {
 			return
 		}
-		if time.Since(begun) > 4*time.Second {
-			t.Fatal("an ordinary client after the flood is rejected")
+		if time.Since(start) > 4*time.Second {
+			t.Fatal("a normal client is still rejected after 4 s")
 		}
-		begun = begun.Add(1)
+		start = start.Add(1)
 	}
 }
 
-// startLimitedNode starts a process that may hold so many descriptors, beside a discovery that lists so
-// many endpoints, and waits until it serves and knows them all.
+// startLimitedNode starts a process with a limit of descriptors, and a discovery that lists the given
+// number of endpoints. It waits until the process serves and has the whole list.
 func startLimitedNode(t *testing.T, endpoints, sockets int) (p *process, addr string, discovery *discoveryProxy) {
 	t.Helper()
 	t.Setenv("TEST_NOFILE", fmt.Sprint(sockets))
@@ -139,9 +141,10 @@
 	return p, addr, discovery
 }
 
-// While discovery is down a flood of clients stays silent, sends what is no line, or opens sessions
-// and stays. The process may hold few descriptors and has many endpoints, and probes them all. Its
-// watch comes back soon after discovery's return, sessions go on, and new clients are served.
+// During an outage of discovery, a flood of clients stays silent, sends invalid lines, or opens sessions
+// and keeps them. The process has few descriptors and keeps probe connections to many endpoints. The
+// discovery watch must still resume soon after the outage, sessions must go on, and new clients must be
+// served.
 func TestFloodWhileDiscoveryIsDown(t *testing.T) {
 	const endpoints, sockets = 60, 160
 	p, addr, discovery := startLimitedNode(t, endpoints, sockets)
@@ -149,7 +152,7 @@
 	for i := range 10 {
 		sessions = append(sessions, openSession(t, addr, fmt.Sprint("a", i)))
 	}
-	for i := range 300 { // until all are probed
+	for i := range 300 { // enough requests for all endpoints to be probed
 		c := dialClient(t, addr, openLine(fmt.Sprint("p", i)))
 		_ = c.readLine()
 		_ = c.Close()
@@ -162,15 +165,15 @@
 	for n := range 8 {
 		flood.Go(func() { floodConnections(addr, n, stopped) })
 	}
-	time.Sleep(2 * time.Second) // of the outage
+	time.Sleep(2 * time.Second) // the length of the outage
 	discovery.isDown.Store(false)
 	restoredAt := time.Now()
 	for discovery.watched.Load() == before && time.Since(restoredAt) < testTimeout {
 		time.Sleep(time.Millisecond)
 	}
-	// A call may have failed just before, and the pause after it is under 2 s.
+	// The last call may have failed just before the end of the outage; the pause after it is under 2 s.
 	if took := time.Since(restoredAt); took > 3*time.Second {
-		t.Errorf("the watch came back after %v", took)
+		t.Errorf("the watch resumed after %v, want at most 3 s", took)
 	}
 	for i, c := range sessions {
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
--- a/cmd/coralrelay/goroutines_test.go
+++ b/cmd/coralrelay/goroutines_test.go
@@ -11,16 +11,16 @@
 	"coralrelay/internal/testsocket"
 )
 
-// servedFunctions are prefixes of the functions that run in goroutines of a node, or start them:
-// those of its packages, of serve and its stages, and of the parts that the stages start.
-var servedFunctions = []string{
+// nodeFunctions are prefixes of the names of functions that run in a node's goroutines or start them: those
+// of its packages, of serve and its stages, and of the components that the stages start.
+var nodeFunctions = []string{
 	"internal/downstream.", "internal/proxy.", "internal/dispatch.", "internal/discovery.", "internal/admin.",
 	"cmd/coralrelay.serve", "cmd/coralrelay.(*node).", "cmd/coralrelay.(*siblingMonitor).",
 	"cmd/coralrelay.startUDP", "cmd/coralrelay.startTokenResumption", "cmd/coralrelay.startAdmin",
 	"cmd/coralrelay.startAgentClient",
 }
 
-// goroutines returns the stacks of all goroutines by the number that each begins with.
+// goroutines returns the stacks of all goroutines, keyed by the goroutine's number as a stack trace has it.
 func goroutines() map[string]string {
 	all := make([]byte, 1<<20)
 	all = all[:runtime.Stack(all, true)]
@@ -32,10 +32,10 @@
 	return stacks
 }
 
-// isServed reports whether a goroutine runs one of the servedFunctions or was created by one. It
-// passes over those of context.AfterFunc, which only close something: nobody waits for their last
-// instructions.
-func isServed(stack string) bool {
+// belongsToNode reports whether a goroutine runs one of the nodeFunctions or was created by one. It
+// ignores the goroutines of context.AfterFunc, which only close something: serve does not wait for them
+// to end.
+func belongsToNode(stack string) bool {
 	if strings.Contains(stack, "\ncreated by context.") {
 		return false
 	}
@@ -44,7 +44,7 @@
 		if !isOurs {
 			continue
 		}
-		for _, served := range servedFunctions {
+		for _, served := range nodeFunctions {
 			if strings.HasPrefix(function, served) {
 				return true
 			}
@@ -53,22 +53,22 @@
 	return false
 }
 
-// No goroutine of the clients' side or of a part that serve starts outlives its end, whatever
-// clients and upstreams were doing.
+// No goroutine of a client or of a component that serve starts is left when serve returns, whatever state the
+// clients and upstreams were in.
 func TestNoGoroutineOutlivesServe(t *testing.T) {
-	before := goroutines() // an earlier test's node may still drain
-	var got atomic.Int32
+	before := goroutines() // the node of an earlier test may still drain
+	var firstLines atomic.Int32
 	unresponsive, received := make(chan struct{}), make(chan struct{}, 64)
 	addr, terminate, done := startNode(t, testsocket.Serve(t, func(conn net.Conn) {
 		select {
 		case <-unresponsive:
-			for lines := bufio.NewScanner(conn); lines.Scan(); { // takes all and answers nothing
+			for lines := bufio.NewScanner(conn); lines.Scan(); { // reads everything and answers nothing
 				if strings.HasPrefix(lines.Text(), "OPEN") {
 					received <- struct{}{}
 				}
 			}
 		default:
-			serveUpstream(&got)(conn)
+			serveUpstream(&firstLines)(conn)
 		}
 	}), 1024)
 	session := dialClient(t, addr, openLine("a"))
@@ -83,7 +83,7 @@
 		dialClient(t, addr, "OPEN c k1 c=feed,d=40000,at=s1\r\n"),
 	}
 	<-received
-	dialClient(t, addr, "HELLO\r\n") // is read to its end, and stays
+	dialClient(t, addr, "HELLO\r\n") // gets an error answer; this end stays open
 	terminate()
 	for i, want := range []string{"MOVE\r\n", "BUSY 500\r\n", "BUSY 500\r\n", "ERR\r\n"} {
 		if s := clients[i].readToEnd(); s != want {
@@ -95,8 +95,8 @@
 		t.Error(err)
 	}
 	for number, stack := range goroutines() {
-		if _, isOld := before[number]; !isOld && isServed(stack) {
-			t.Errorf("still there:\n%s", stack)
+		if _, isOld := before[number]; !isOld && belongsToNode(stack) {
+			t.Errorf("goroutine still runs after serve returned:\n%s", stack)
 		}
 	}
 }
--- a/cmd/coralrelay/heldup_test.go
+++ b/cmd/coralrelay/heldup_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Clients that connect, send their first line and leave while the process is held up have left when it
-// goes on: no first line of theirs is forwarded. All come at once, so that some are served before their
-// end was read.
+// Clients connect, send their first line and disconnect while the process is stopped. When the process
+// continues, it must forward none of these first lines. All clients connect at once, so that the process
+// handles some of them before it has read the end of their connections.
 func TestForwardsNothingForClientsThatLeftWhileHeldUp(t *testing.T) {
 	const clients, rounds = 40, 5
-	p, addr, _, got := startServingNode(t, 1024)
+	p, addr, _, firstLines := startServingNode(t, 1024)
 	for round := range rounds {
-		before := got.Load()
+		before := firstLines.Load()
 		p.signal(syscall.SIGSTOP)
 		for i := range clients {
 			conn, err := net.Dial("tcp", addr)
@@ -25,11 +25,11 @@
 			fmt.Fprint(conn, openLine(fmt.Sprintf("h%d.%d", round, i)))
 			conn.Close()
 		}
-		time.Sleep(120 * time.Millisecond) // what is tested: they left longer ago than 0.1 s
+		time.Sleep(120 * time.Millisecond) // the case under test: the clients left more than 0.1 s ago
 		p.signal(syscall.SIGCONT)
-		openSession(t, addr, fmt.Sprint("after", round)).Close() // comes after all of them
+		openSession(t, addr, fmt.Sprint("after", round)).Close() // is accepted after all of them
 		p.untilMetrics("balancer.open_requests:0|g\r\n")
-		if forwarded := got.Load() - before - 1; forwarded != 0 {
+		if forwarded := firstLines.Load() - before - 1; forwarded != 0 {
 			t.Errorf("round %d: %d first lines of clients that had left were forwarded", round, forwarded)
 		}
 	}
--- a/cmd/coralrelay/helpers_test.go
+++ b/cmd/coralrelay/helpers_test.go
@@ -30,13 +30,12 @@
 "limits":{"connectTimeout":0.25,"maxRetryAfter":1,"mostTries":6,"probing":true,"retryAfter":true},
 "registryMode":"on_request","report":{"via":"probe"},"weights":"rough","zone":"a"}`
 
-// settingsOfFleet is settingsJSON for a fleet of so many instances.
-func settingsOfFleet(instances int) string {
+// fleetSettings returns settingsJSON for a fleet with the given number of instances.
+func fleetSettings(instances int) string {
 	return strings.Replace(settingsJSON, `"nInstances":1`, fmt.Sprintf(`"nInstances":%d`, instances), 1)
 }
 
-// writeConfig writes the configuration of a node that knows one endpoint, or none without an
-// upstreamAddr.
+// writeConfig writes a node's configuration file, which lists one endpoint, or none if upstreamAddr is empty.
 func writeConfig(t *testing.T, path, addr, discovery, upstreamAddr string, sockets int) {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
@@ -51,7 +50,7 @@
 	}
 }
 
-// freeAddr returns an address on which nobody listens. No two calls return the same.
+// freeAddr returns an unused address. No two calls return the same one.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := loopback.Reserve()
@@ -61,13 +60,14 @@
 	return addr
 }
 
-// serveUpstream answers as an upstream does; first lines are counted in got.
-func serveUpstream(got *atomic.Int32) func(net.Conn) {
-	return serveUpstreamNoting(func() { got.Add(1) })
+// serveUpstream returns a handler that answers as an upstream does and counts the first lines.
+func serveUpstream(firstLines *atomic.Int32) func(net.Conn) {
+	return serveUpstreamWithHook(func() { firstLines.Add(1) })
 }
 
-// serveUpstreamNoting answers as an upstream does, and calls a function at each first line.
-func serveUpstreamNoting(onFirstLine func()) func(net.Conn) {
+// serveUpstreamWithHook returns a handler that answers as an upstream does and calls onFirstLine at each
+// first line.
+func serveUpstreamWithHook(onFirstLine func()) func(net.Conn) {
 	return func(conn net.Conn) {
 		for lines := bufio.NewScanner(conn); lines.Scan(); {
 			answer := "yes"
@@ -99,18 +99,18 @@
 // awaitListening waits until the node accepts clients.
 func awaitListening(t *testing.T, addr string) {
 	t.Helper()
-	for begun := time.Now(); ; {
+	for start := time.Now(); ; {
 		if conn, err := net.Dial("tcp", addr); err == nil {
 			conn.Close()
 			return
-		} else if time.Since(begun) > testTimeout {
+		} else if time.Since(start) > testTimeout {
 			t.Fatal(err)
 		}
 	}
 }
 
-// startNode starts a node that knows one endpoint, and returns where it listens, what terminates it
-// and what serve returned.
+// startNode starts a node with one configured endpoint. It returns the node's address, a function that
+// terminates the node, and a channel that receives the result of serve.
 func startNode(
 	t *testing.T, upstreamAddr string, sockets int,
 ) (addr string, terminate context.CancelFunc, done <-chan error) {
@@ -120,8 +120,8 @@
 	return addr, terminate, done
 }
 
-// startServe starts a node with an operator's file, which the caller has to terminate. Its
-// discovery accepts calls and answers none.
+// startServe is like startNode with an operator's file, but the caller has to terminate the node. The node's
+// discovery accepts calls and never answers.
 func startServe(
 	t *testing.T, upstreamAddr string, sockets int, operatorFile operatorconfig.File,
 ) (addr string, terminate context.CancelFunc, done <-chan error) {
--- a/cmd/coralrelay/listener_test.go
+++ b/cmd/coralrelay/listener_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The listener's flag not to block is shared by all processes that hold it, and any of them may
-// clear it: this process still accepts new clients, and drains in its time.
-func TestListenerMadeBlocking(t *testing.T) {
+// All processes that hold the listening socket share its O_NONBLOCK flag, and any of them may clear it. This
+// process must still accept new clients and drain in time.
+func TestAcceptsWithBlockingListener(t *testing.T) {
 	node := newSharedSocket(t, 256)
 	p := node.startServing()
 	raw, err := node.file.SyscallConn()
@@ -24,16 +24,16 @@
 		t.Fatal(flagErr)
 	}
 	var session *client
-	for _, id := range []string{"a", "b"} { // behind each the next accept blocks
+	for _, id := range []string{"a", "b"} { // without the flag, the accept after each would block
 		session = openSession(t, node.addr, id)
 	}
 	p.expectMoveAndExit(session)
 }
 
-// The queue of connections that wait to be accepted is limited, and its length is shown: a connection that finds it full
-// is not taken, where it once waited for seconds.
+// The accept queue has a limit and its length is reported. A connection request that finds the queue full
+// is dropped; in a longer queue, clients would wait for seconds.
 func TestBacklogIsLimitedAndShown(t *testing.T) {
-	const sockets, want = 300, defaultAcceptBacklog + 1 // the system takes one more
+	const sockets, want = 300, defaultAcceptBacklog + 1 // the kernel accepts one more than the backlog
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,11 +52,11 @@
 		}
 	}
 	if waiting := acceptQueue(listener); waiting != want || connected != waiting {
-		t.Errorf("%d connected and %d wait, want %d; then %v", connected, waiting, want, failed)
+		t.Errorf("%d connected, %d in the queue, want %d; last error %v", connected, waiting, want, failed)
 	}
 }
 
-// A node shows the length of that queue, and how long the last client had waited.
+// The metrics have the length of the accept queue and how long the last client waited in it.
 func TestMetricsShowTheAcceptQueue(t *testing.T) {
 	p, addr, _, _ := startServingNode(t, 1024)
 	openSession(t, addr, "a")
--- a/cmd/coralrelay/listreturn_test.go
+++ b/cmd/coralrelay/listreturn_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	returnNodes    = 24
-	listCallTime   = 25 * time.Millisecond // of discovery
-	returnOutage   = 8 * time.Second
+	fleetNodes     = 24
+	callDuration   = 25 * time.Millisecond // the time discovery takes to answer a call
+	outageDuration = 8 * time.Second
 	watchHeartbeat = 2 * time.Second
 )
 
-// queuedDiscovery takes one call at a time, and becomes the watch of each.
+// queuedDiscovery answers one call at a time with its list. Each connection then stays open as a watch.
 type queuedDiscovery struct {
 	list   string
-	turn   sync.Mutex // of the call that is served
+	callMu sync.Mutex // held while a call is answered
 	isDown atomic.Bool
 
 	mu       sync.Mutex
@@ -43,9 +43,9 @@
 		fmt.Fprint(conn, unavailable)
 		return
 	}
-	d.turn.Lock()
-	time.Sleep(listCallTime) // what the call costs
-	d.turn.Unlock()
+	d.callMu.Lock()
+	time.Sleep(callDuration) // simulates the cost of a call
+	d.callMu.Unlock()
 	fmt.Fprint(conn, okHead+d.list+"\n")
 	d.mu.Lock()
 	d.watches[conn] = struct{}{}
@@ -63,8 +63,8 @@
 	}
 }
 
-// goDown ends all watches, and answers 503 from now on.
-func (d *queuedDiscovery) goDown() {
+// takeDown ends all watches; calls are answered with 503 from now on.
+func (d *queuedDiscovery) takeDown() {
 	d.isDown.Store(true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,10 +75,11 @@
 	d.listedAt = nil
 }
 
-// awaitLists returns, in order, how long after a time so many lists were written.
+// awaitLists waits until count lists have been written, and returns how long after the time since each of
+// them was written, in order.
 func (d *queuedDiscovery) awaitLists(t *testing.T, count int, since time.Time) (took []time.Duration) {
 	t.Helper()
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
 		listed := slices.Clone(d.listedAt)
 		d.mu.Unlock()
@@ -88,20 +89,20 @@
 			}
 			return took
 		}
-		if time.Since(begun) > testTimeout {
-			t.Fatalf("%d of %d lists were asked for", len(listed), count)
+		if time.Since(start) > testTimeout {
+			t.Fatalf("%d of %d lists were requested", len(listed), count)
 		}
 	}
 }
 
-// startNodeBeside starts a process of a fleet, whose list has one endpoint.
-func (d *queuedDiscovery) startNodeBeside(t *testing.T, discoveryAddr string) (addr string) {
+// startFleetNode starts the process of one node of a fleet, whose list has one endpoint.
+func (d *queuedDiscovery) startFleetNode(t *testing.T, discoveryAddr string) (addr string) {
 	t.Helper()
 	addr = freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	raw := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":%q,
 		"limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s,"known":%s}`,
-		addr, discoveryAddr, fmt.Sprintf("%016x", time.Now().UnixNano()), settingsOfFleet(returnNodes), d.list)
+		addr, discoveryAddr, fmt.Sprintf("%016x", time.Now().UnixNano()), fleetSettings(fleetNodes), d.list)
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -109,49 +110,51 @@
 	return addr
 }
 
-// After an outage in which discovery answers 503 all nodes have their lists again about as soon as it can serve them.
-// Meanwhile clients are rejected, with times to come again that bring them back one after the other.
-func TestListsReturnToRealNodes(t *testing.T) {
+// After an outage in which discovery answers 503, all nodes receive their lists about as soon as
+// discovery can serve them. During the outage, clients are rejected with Retry-After values that spread
+// their return.
+func TestNodesReceiveListsAfterOutage(t *testing.T) {
 	t.Parallel()
 	upstreamAddr := testsocket.Serve(t, serveUpstream(&atomic.Int32{}))
 	d := &queuedDiscovery{watches: map[net.Conn]struct{}{}, list: fmt.Sprintf(`{"generation":1,"reset":true,"instances":[`+
 		`{"instanceId":"s0","hostPort":%q,"zone":"a","lifecycle":"active","startedAtMs":0}]}`, upstreamAddr)}
 	discoveryAddr := testsocket.Serve(t, d.serve)
 	var addrs []string
-	for range returnNodes {
-		addrs = append(addrs, d.startNodeBeside(t, discoveryAddr))
+	for range fleetNodes {
+		addrs = append(addrs, d.startFleetNode(t, discoveryAddr))
 	}
-	d.awaitLists(t, returnNodes, time.Now())
-	d.goDown()
-	time.Sleep(returnOutage) // the time in which nobody has a list
-	retryAfters := retryTimes(t, addrs)
-	back := time.Now()
+	d.awaitLists(t, fleetNodes, time.Now())
+	d.takeDown()
+	time.Sleep(outageDuration) // no node has a list
+	retryAfters := requestRetryAfters(t, addrs)
+	restoredAt := time.Now()
 	d.isDown.Store(false)
-	took := d.awaitLists(t, returnNodes, back)
+	took := d.awaitLists(t, fleetNodes, restoredAt)
 	const longestPause, machineDelay = 1250 * time.Millisecond, time.Second
 	for _, percent := range []int{50, 90, 99} {
-		count := (returnNodes*percent + 99) / 100
-		if bound := time.Duration(count)*listCallTime + longestPause + machineDelay; took[count-1] > bound {
-			t.Errorf("%d %% of the nodes have a list after %v, want %v", percent, took[count-1], bound)
+		count := (fleetNodes*percent + 99) / 100
+		if bound := time.Duration(count)*callDuration + longestPause + machineDelay; took[count-1] > bound {
+			t.Errorf("%d %% of nodes have a list after %v, want at most %v", percent, took[count-1], bound)
 		}
 	}
-	t.Logf("lists after %v; clients come again after %v", took, retryAfters)
+	t.Logf("lists after %v; Retry-After values in ms: %v", took, retryAfters)
 	if spread := slices.Max(retryAfters) - slices.Min(retryAfters); spread < 200 {
-		t.Errorf("all clients come again within %d ms", spread)
+		t.Errorf("the Retry-After values spread over %d ms only, want 200 ms at least", spread)
 	}
 	for _, addr := range addrs {
 		expectServed(t, addr)
 	}
 }
 
-// retryTimes has a client come to each node, which must reject it, and returns the times to come again in milliseconds.
-func retryTimes(t *testing.T, addrs []string) (times []int) {
+// requestRetryAfters sends a request to each node, which must reject it, and returns the Retry-After
+// values in milliseconds.
+func requestRetryAfters(t *testing.T, addrs []string) (times []int) {
 	t.Helper()
 	for i, addr := range addrs {
 		answer := dialClient(t, addr, openLine(fmt.Sprint("m", i))).readLine()
 		var retryAfter int
 		if _, err := fmt.Sscanf(answer, "BUSY %d", &retryAfter); err != nil {
-			t.Errorf("a client while no list may be relied on: %q", answer)
+			t.Errorf("a client while the node has no valid list: %q", answer)
 			continue
 		}
 		times = append(times, retryAfter)
--- a/cmd/coralrelay/main_test.go
+++ b/cmd/coralrelay/main_test.go
@@ -9,7 +9,8 @@
 	"coralrelay/internal/audit"
 )
 
-// TestMain lets the test binary be the node's process, with TEST_NOFILE as its limit of descriptors.
+// TestMain runs the test binary as the node's process if BALANCER_CONFIG is set, with TEST_NOFILE as its
+// limit of descriptors.
 func TestMain(m *testing.M) {
 	if os.Getenv("BALANCER_CONFIG") != "" {
 		if n, err := strconv.Atoi(os.Getenv("TEST_NOFILE")); err == nil {
--- a/cmd/coralrelay/manyendpoints_test.go
+++ b/cmd/coralrelay/manyendpoints_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// A process that may hold 512 descriptors serves all clients beside 1,500 endpoints, however many of
-// them it has probed. Kept probe connections once took all descriptors within seconds, and then no
-// client was accepted any more.
-func TestServesBesideMoreEndpointsThanDescriptors(t *testing.T) {
-	const endpoints, sockets, clients, atOnce = 1500, 512, 1200, 8
+// A process with 512 descriptors and 1,500 endpoints serves all clients, however many endpoints it has
+// probed. Without a limit, idle probe connections take all descriptors within seconds, and no client is
+// accepted any more.
+func TestServesWithMoreEndpointsThanDescriptors(t *testing.T) {
+	const endpoints, sockets, clients, concurrent = 1500, 512, 1200, 8
 	p, addr, _ := startLimitedNode(t, endpoints, sockets)
 
 	ids := make(chan int)
 	var served atomic.Int32
 	var wg sync.WaitGroup
-	for range atOnce {
+	for range concurrent {
 		wg.Go(func() {
 			for id := range ids {
-				if clientIsServed(addr, id) {
+				if isClientServed(addr, id) {
 					served.Add(1)
 				}
 			}
@@ -41,8 +41,8 @@
 	p.expectExit()
 }
 
-// clientIsServed has one client of a group of its own come and go, and reports whether it was served.
-func clientIsServed(addr string, id int) bool {
+// isClientServed opens and closes one session in a group of its own, and reports whether it was served.
+func isClientServed(addr string, id int) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
--- a/cmd/coralrelay/nodelay_test.go
+++ b/cmd/coralrelay/nodelay_test.go
@@ -18,7 +18,7 @@
 	"coralrelay/internal/upstream"
 )
 
-// connReceiver passes on the connections that are handed over.
+// connReceiver receives the connections that are handed over.
 type connReceiver chan [2]net.Conn
 
 // Adopt implements hotrestart.Receiver.
@@ -30,7 +30,7 @@
 // Learn implements hotrestart.Receiver.
 func (connReceiver) Learn(balance.LearnedState) {}
 
-// expectNoDelay requires that the connection's socket does not hold small writes back.
+// expectNoDelay requires that TCP_NODELAY is set on the connection's socket.
 func expectNoDelay(t *testing.T, what string, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -46,7 +46,7 @@
 	}
 }
 
-// acceptOne returns a connection that the clients' listener accepted, and its far end.
+// acceptOne returns both ends of a connection that the clients' listener accepted.
 func acceptOne(t *testing.T, cfg config.Config) (near, far net.Conn) {
 	t.Helper()
 	l, err := openClientListener(cfg)
@@ -68,7 +68,7 @@
 	return near, far
 }
 
-// handOver hands both connections over, and returns the received ones.
+// handOver hands both connections over and returns the received ones.
 func handOver(t *testing.T, downstreamConn, upstreamConn net.Conn) [2]net.Conn {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -85,13 +85,14 @@
 	}
 	defer sender.Close()
 	if !sender.Take(proxy.EstablishedSession{}, downstreamConn, upstreamConn) {
-		t.Fatal("not taken")
+		t.Fatal("the receiver did not adopt the session")
 	}
 	return <-receiver
 }
 
-// No socket holds small writes back: not one that was accepted, at a listener of the node's own
-// or an inherited one, not one that was handed over, nor one that the node dials.
+// TCP_NODELAY is set on every socket, so that small writes are not delayed: on connections accepted at
+// the node's own listener and at an inherited one, on connections handed over, and on those that the node
+// dials.
 func TestAllSocketsHaveNoDelay(t *testing.T) {
 	near, far := acceptOne(t, config.Config{Listen: "127.0.0.1:0"})
 	expectNoDelay(t, "accepted", near)
@@ -103,7 +104,7 @@
 	inherited, _ := acceptOne(t, config.Config{InheritedFD: copied})
 	expectNoDelay(t, "accepted at an inherited listener", inherited)
 
-	for _, conn := range []net.Conn{near, far} { // the receiver must set it itself
+	for _, conn := range []net.Conn{near, far} { // the receiver must set the option again
 		_ = conn.(*net.TCPConn).SetNoDelay(false)
 	}
 	for i, conn := range handOver(t, near, far) {
--- a/cmd/coralrelay/process_test.go
+++ b/cmd/coralrelay/process_test.go
@@ -17,16 +17,16 @@
 	"coralrelay/internal/testsocket"
 )
 
-// process is the node's program, started as the platform does.
+// process is the node's program, started as the platform starts it.
 type process struct {
 	*exec.Cmd
 	t         *testing.T
 	adminAddr string
-	log       *bytes.Buffer // to be read after its end
+	log       *bytes.Buffer // must only be read after the process has exited
 	exited    chan error
 }
 
-// startProcess starts one; inherited, if there is one, becomes its descriptor 4.
+// startProcess starts a process. If inherited is not nil, it becomes the process's descriptor 4.
 func startProcess(t *testing.T, path, tmp string, inherited *os.File, args ...string) *process {
 	t.Helper()
 	p := &process{
@@ -51,19 +51,21 @@
 	return p
 }
 
-// startServingNode starts a process that serves, and counts the first lines that its upstream got.
-func startServingNode(t *testing.T, sockets int) (p *process, addr, path string, got *atomic.Int32) {
+// startServingNode starts a process and waits until it serves. firstLines counts the first lines that its
+// upstream receives.
+func startServingNode(t *testing.T, sockets int) (p *process, addr, path string, firstLines *atomic.Int32) {
 	t.Helper()
-	got = &atomic.Int32{}
-	upstreamAddr := testsocket.Serve(t, serveUpstream(got))
+	firstLines = &atomic.Int32{}
+	upstreamAddr := testsocket.Serve(t, serveUpstream(firstLines))
 	addr, path = freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, addr, startDiscovery(t, upstreamAddr), upstreamAddr, sockets)
 	p = startProcess(t, path, t.TempDir(), nil)
 	p.untilAnswer("PING", "200")
-	return p, addr, path, got
+	return p, addr, path, firstLines
 }
 
-// listeningSocket is the clients' listening socket, as the platform holds it.
+// listeningSocket opens a listening socket for clients, as the platform does, and returns its descriptor as a
+// file.
 func listeningSocket(t *testing.T) (addr string, file *os.File) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,8 +81,7 @@
 	return l.Addr().String(), file
 }
 
-// sharedSocket is a node of which the platform holds the listening socket, so that one process can
-// succeed another.
+// sharedSocket is a node whose listening socket the platform holds, so that one process can succeed another.
 type sharedSocket struct {
 	t                             *testing.T
 	addr, discovery, upstreamAddr string
@@ -112,7 +113,7 @@
 	return p
 }
 
-// adminCall makes one call of an operator's.
+// adminCall sends one call to the admin server, and returns the answer or the text of an error.
 func (p *process) adminCall(call string) string {
 	conn, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
@@ -128,29 +129,29 @@
 	return string(all)
 }
 
-// untilAnswer repeats a call until the answer begins as wanted.
+// untilAnswer repeats a call until the answer begins with want.
 func (p *process) untilAnswer(call, want string) {
 	p.t.Helper()
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		got := p.adminCall(call)
 		if strings.HasPrefix(got, want) {
 			return
 		}
-		if time.Since(begun) > testTimeout {
+		if time.Since(start) > testTimeout {
 			p.t.Fatalf("%s: %q, want %q", call, got, want)
 		}
 	}
 }
 
-// untilMetrics asks for the metrics until they hold a text.
+// untilMetrics reads the metrics until they contain text.
 func (p *process) untilMetrics(text string) {
 	p.t.Helper()
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		got := p.adminCall("INFO")
 		if strings.Contains(got, text) && strings.HasSuffix(got, "EOF\r\n") {
 			return
 		}
-		if time.Since(begun) > testTimeout {
+		if time.Since(start) > testTimeout {
 			p.t.Fatalf("metrics:\n%swant:\n%s", got, text)
 		}
 	}
@@ -163,22 +164,22 @@
 	}
 }
 
-// expectMoveAndExit terminates the process: the session is migrated, and the process exits without
-// an error.
+// expectMoveAndExit terminates the process, and requires that the session is migrated and that the
+// process exits without an error.
 func (p *process) expectMoveAndExit(session *client) {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	if s := session.readLine(); s != "MOVE" {
-		p.t.Errorf("at the end: %q", s)
+		p.t.Errorf("the session at SIGTERM: %q", s)
 	}
 	p.expectExit()
 }
 
-// expectExit requires that the process exits without an error, and has violated no invariant.
+// expectExit requires that the process exits without an error and has not logged a violated invariant.
 func (p *process) expectExit() {
 	p.t.Helper()
 	if err := p.awaitExit(testTimeout); err != nil || strings.Contains(p.log.String(), "invariant violated") {
-		p.t.Errorf("it ended with %v\n%s", err, p.log)
+		p.t.Errorf("the process exited with %v\n%s", err, p.log)
 	}
 }
 
@@ -188,17 +189,17 @@
 	case err := <-p.exited:
 		return err
 	case <-time.After(timeout):
-		p.t.Fatalf("it has not ended within %v", timeout)
+		p.t.Fatalf("the process has not exited within %v", timeout)
 		return nil
 	}
 }
 
-// expectLogged requires texts in the log of a process that has exited.
+// expectLogged requires that the log of the exited process contains the texts.
 func (p *process) expectLogged(texts ...string) {
 	p.t.Helper()
 	for _, text := range texts {
 		if !strings.Contains(p.log.String(), text) {
-			p.t.Errorf("the log does not have %s:\n%s", text, p.log)
+			p.t.Errorf("the log does not contain %s:\n%s", text, p.log)
 		}
 	}
 }
--- a/cmd/coralrelay/reloadexhausted_test.go
+++ b/cmd/coralrelay/reloadexhausted_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// A new configuration that comes while no descriptor is left takes force once there is one: nobody hangs
-// up a second time.
-func TestReloadOutlastsAWantOfDescriptors(t *testing.T) {
+// A reload that SIGHUP requests while no descriptor is free succeeds as soon as one is, without a second
+// SIGHUP.
+func TestReloadRetriesUntilDescriptorIsFree(t *testing.T) {
 	p, addr, path, _ := startServingNode(t, 1024)
-	restore := p.limitDescriptorsTo(3) // each new descriptor is beyond it
+	restore := p.limitDescriptorsTo(3) // the process can open no further descriptor
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // of the want
+	time.Sleep(100 * time.Millisecond) // no descriptor is free
 	restore()
 	p.untilMetrics("balancer.cfg_accepted:1|c\r\nbalancer.cfg_invalid:0|c\r\n")
 	conn, err := net.Dial("tcp", addr)
--- a/cmd/coralrelay/restartclients_test.go
+++ b/cmd/coralrelay/restartclients_test.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	restartClientGap  = time.Millisecond       // between two clients around a restart
-	beforeTermination = 100 * time.Millisecond // that they come
-	afterTermination  = 400 * time.Millisecond // that the front still sends them
-	aroundStart       = 300 * time.Millisecond // that they come while the next process starts
+	clientInterval    = time.Millisecond       // between two clients
+	beforeTermination = 100 * time.Millisecond // clients connect for this long before SIGTERM
+	afterTermination  = 400 * time.Millisecond // the front still sends clients for this long after SIGTERM
+	duringStart       = 300 * time.Millisecond // clients connect for this long during the next start
 )
 
-// clientsAround has clients come to addr one after the other for a time, every other one with its request in two
-// pieces. It returns a function that waits for their answers, by id; one that could not connect has none.
-func clientsAround(addr, prefix string, span time.Duration) (answers func() map[string]string) {
+// startClients starts clients one after another for the given span. Every other one sends its request in two
+// pieces. It returns a function that waits for the answers and returns them by id; a client that could not
+// connect has none.
+func startClients(addr, prefix string, span time.Duration) (answers func() map[string]string) {
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	got := map[string]string{}
-	ticker := time.NewTicker(restartClientGap)
+	ticker := time.NewTicker(clientInterval)
 	defer ticker.Stop()
-	for i := range int(span / restartClientGap) {
+	for i := range int(span / clientInterval) {
 		<-ticker.C
 		id := fmt.Sprint(prefix, i)
 		clients.Go(func() {
-			if answer, connected := askOnce(addr, id, i%2 == 1); connected {
+			if answer, connected := requestOnce(addr, id, i%2 == 1); connected {
 				mu.Lock()
 				defer mu.Unlock()
 				got[id] = answer
@@ -43,8 +44,9 @@
 	}
 }
 
-// askOnce has one client connect and ask. It reports the first line of the answer, or what came in its place.
-func askOnce(addr, id string, inPieces bool) (answer string, connected bool) {
+// requestOnce connects and sends one request. It returns the first line of the answer, or a description
+// of the error.
+func requestOnce(addr, id string, inPieces bool) (answer string, connected bool) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", false
@@ -55,7 +57,7 @@
 	if inPieces {
 		fmt.Fprint(conn, request[:len(request)/2])
 		request = request[len(request)/2:]
-		time.Sleep(restartClientGap) // a slow writer
+		time.Sleep(clientInterval) // simulates a slow client
 	}
 	fmt.Fprint(conn, request)
 	text, err := bufio.NewReader(conn).ReadString('\n')
@@ -65,20 +67,20 @@
 	return strings.TrimSpace(text), true
 }
 
-// A process ends and the next one starts at its address, while a client comes each millisecond: whoever could connect
-// has an answer, and no reset.
-func TestClientsAroundARestartAreAnswered(t *testing.T) {
+// A process ends and the next one starts at the same address while a client connects each millisecond.
+// Every client that could connect gets an answer and no reset.
+func TestAnswersClientsDuringRestart(t *testing.T) {
 	p, addr, path, _ := startServingNode(t, 4096)
-	before := clientsAround(addr, "a", beforeTermination)
+	before := startClients(addr, "a", beforeTermination)
 	p.signal(syscall.SIGTERM)
-	after := clientsAround(addr, "b", afterTermination)
+	after := startClients(addr, "b", afterTermination)
 	answered := before()
 	for id, answer := range after() {
 		answered[id] = answer
 	}
 	p.expectExit()
 	next := startProcess(t, path, t.TempDir(), nil)
-	for id, answer := range clientsAround(addr, "c", aroundStart)() {
+	for id, answer := range startClients(addr, "c", duringStart)() {
 		answered[id] = answer
 	}
 	next.untilAnswer("PING", "200")
@@ -91,7 +93,7 @@
 			served++
 		}
 	}
-	if least := int((beforeTermination + afterTermination) / restartClientGap); len(answered) < least || served == 0 {
-		t.Errorf("%d could connect, want %d; %d were served", len(answered), least, served)
+	if least := int((beforeTermination + afterTermination) / clientInterval); len(answered) < least || served == 0 {
+		t.Errorf("%d clients could connect, want at least %d; %d were served", len(answered), least, served)
 	}
 }
--- a/cmd/coralrelay/routednode_test.go
+++ b/cmd/coralrelay/routednode_test.go
@@ -22,7 +22,7 @@
 	"coralrelay/internal/fleet/replog"
 )
 
-// fakeLog is a replicated log whose state the test sets.
+// fakeLog is a replicated log whose view is set by the test.
 type fakeLog struct{ view atomic.Pointer[replog.View] }
 
 func (l *fakeLog) View() replog.View        { return *l.view.Load() }
@@ -32,7 +32,7 @@
 	return o, replog.ErrOutcomeUnknown
 }
 
-// fakePlacement passes on its one answer as a word.
+// fakePlacement is a placement request that sends its answer to a channel as text.
 type fakePlacement struct {
 	dispatch.Request
 	answer chan string
@@ -44,13 +44,13 @@
 	f.answer <- "failed"
 	return true
 }
-func (f *fakePlacement) Reject(pause time.Duration) bool {
-	f.answer <- map[bool]string{true: "busy with a pause", false: "busy"}[pause > 0]
+func (f *fakePlacement) Reject(retryAfter time.Duration) bool {
+	f.answer <- map[bool]string{true: "busy with Retry-After", false: "busy"}[retryAfter > 0]
 	return true
 }
 
-// healthyUpstreams are endpoints that are nearly idle and accept all, and a discovery that never
-// answers.
+// healthyUpstreams simulates endpoints that are nearly idle and accept every attempt, and a discovery
+// that never answers.
 type healthyUpstreams struct{ eventLoop *dispatch.EventLoop }
 
 func (u *healthyUpstreams) Subscribe() {}
@@ -64,10 +64,10 @@
 	x.(*fakePlacement).answer <- server
 }
 
-// leaseConfig is that of agent and node.
+// leaseConfig is the configuration that the agent and the node share.
 var leaseConfig = account.LeaseConfig{Epoch: time.Second, HolderTimeout: 5 * time.Second}
 
-// accountState has a route of tenant acme to zone b, and acme's limits: -1 is none.
+// accountState returns a state with a route of tenant acme to zone b, and acme's limits; -1 means unlimited.
 func accountState(setupRate, connections float64) *logentry.State {
 	unlimited := account.Limits{Connections: -1, SetupRate: -1, RetryRate: -1, ProbeRate: -1}
 	limits := unlimited
@@ -86,17 +86,17 @@
 	}}
 }
 
-// routedNode is an event loop with a fleetRouter, and the agent that it exchanges messages with.
+// routedNode is an event loop with a fleetRouter, and the agent with which it exchanges messages.
 type routedNode struct {
 	t         *testing.T
 	log       fakeLog
-	state     *logentry.State // that the log shows from the next advance on
+	state     *logentry.State // the log's state from the next call of advance on
 	agent     *agent.Agent
 	upstreams *healthyUpstreams
 	eventLoop *dispatch.EventLoop
 	router    *fleetRouter
-	requests  int              // submitted so far
-	placed    []*fakePlacement // of them, those that an endpoint accepted
+	requests  int              // number of requests submitted so far
+	placed    []*fakePlacement // requests that an endpoint accepted
 }
 
 func startRoutedNode(ctx context.Context, t *testing.T, state *logentry.State) *routedNode {
@@ -164,7 +164,7 @@
 	n.router.handleResponse(&response)
 }
 
-// throughJSON encodes a message and decodes it into another.
+// throughJSON encodes from as JSON and decodes the result into to.
 func throughJSON(t *testing.T, from, to any) {
 	t.Helper()
 	raw, err := json.Marshal(from)
@@ -176,7 +176,7 @@
 	}
 }
 
-// advance lets time pass, publishes the state, and has node and agent exchange messages twice.
+// advance lets the time d pass, publishes the state, and exchanges messages between node and agent twice.
 func (n *routedNode) advance(d time.Duration) {
 	n.t.Helper()
 	time.Sleep(d)
@@ -186,7 +186,8 @@
 	n.exchange()
 }
 
-// open submits requests of a tenant one after another, and counts their answers by kind.
+// open submits requests of a tenant one after another, and returns the number of answers of each kind as
+// text.
 func (n *routedNode) open(tenant string, count int) string {
 	got := map[string]int{}
 	for range count {
@@ -214,7 +215,7 @@
 	return answers
 }
 
-// expect opens requests of tenant acme and requires their answers.
+// expect submits requests of tenant acme and requires the given answers.
 func (n *routedNode) expect(what string, requests int, want string) {
 	n.t.Helper()
 	if got := n.open("acme", requests); got != want {
--- a/cmd/coralrelay/sibling_test.go
+++ b/cmd/coralrelay/sibling_test.go
@@ -11,8 +11,9 @@
 	"coralrelay/internal/testsocket"
 )
 
-// A process is terminated while its sibling does not serve: it is not ready yet, or drains too.
-// Clients are not left to nobody: this process answers as it does without a sibling.
+// A process is terminated while its sibling does not serve, because the sibling is not ready yet or
+// drains too. The process must answer clients as it does without a sibling, because the sibling would
+// not.
 func TestAnswersAloneWhileSiblingDoesNotServe(t *testing.T) {
 	silent := testsocket.Serve(t, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for name, drainsToo := range map[string]bool{"not ready": false, "drains too": true} {
@@ -20,7 +21,7 @@
 			node := newSharedSocket(t, 256)
 			old := node.startServing()
 			session := openSession(t, node.addr, "a")
-			if !drainsToo { // it waits for a discovery that does not answer
+			if !drainsToo { // the sibling waits for a discovery that does not answer
 				node.path = filepath.Join(t.TempDir(), "other.json")
 				writeConfig(t, node.path, node.addr, silent, node.upstreamAddr, 256)
 			}
@@ -30,7 +31,7 @@
 				next.signal(syscall.SIGTERM)
 			}
 			next.untilAnswer("PING", "400")
-			next.signal(syscall.SIGSTOP) // where it is
+			next.signal(syscall.SIGSTOP) // keeps the sibling in this state
 			old.signal(syscall.SIGTERM)
 			old.untilAnswer("PING", "400")
 			if s := dialClient(t, node.addr, openLine("b")).readLine(); !strings.HasPrefix(s, "BUSY") {
--- a/cmd/coralrelay/signals.go
+++ b/cmd/coralrelay/signals.go
@@ -54,7 +54,7 @@
 	return term
 }
 
-// FlushPending implements signalFlusher.
+// FlushPending implements signalFlusher. It waits for at most barrierTimeout.
 func (t *termination) FlushPending() {
 	if syscall.Kill(os.Getpid(), barrierSignal) != nil {
 		return
--- a/cmd/coralrelay/stalenode_test.go
+++ b/cmd/coralrelay/stalenode_test.go
@@ -16,52 +16,58 @@
 	"coralrelay/internal/testsocket"
 )
 
-// staleNode is a node beside endpoints of which one leaves, which discovery never tells it.
+// staleNode is a node that discovery never notifies of the departure of an endpoint.
 type staleNode struct {
 	*process
-	t         *testing.T
-	addr      string
-	startedAt time.Time
-	sentTo    []atomic.Int64 // by endpoint: when the last first line came, since startedAt
-	calls     atomic.Int32   // of discovery
-	isBack    atomic.Bool    // discovery answers all calls with the list from now on
+	t          *testing.T
+	addr       string
+	startedAt  time.Time
+	lastSentAt []atomic.Int64 // per endpoint: the time of its last first line, in nanoseconds since startedAt
+	calls      atomic.Int32   // number of calls to discovery
+	isRestored atomic.Bool    // discovery answers all calls with the list
 }
 
-// staleFleet is of how many instances and endpoints a stale node's settings and list tell.
+// staleFleet has the number of instances in a stale node's settings, and of endpoints in its list.
 type staleFleet struct{ instances, endpoints int }
 
-// startStaleNode starts a node of a fleet; discovery treats its calls as trouble says, the first one, if
-// firstCall is set, as that says of the node's list. A nil trouble is a discovery where nobody listens.
-func startStaleNode(t *testing.T, fleet staleFleet, firstCall func(list string) troubledCall, trouble troubledCall) *staleNode {
+// startStaleNode starts a node of a fleet. Discovery handles its calls with fault, except that the first
+// call is handled with firstCall, given the node's list, if that is set. If fault is nil, connections to
+// discovery are refused.
+func startStaleNode(
+	t *testing.T, fleet staleFleet, firstCall func(list string) faultyCall, fault faultyCall,
+) *staleNode {
 	t.Helper()
-	n := &staleNode{t: t, addr: freeAddr(t), sentTo: make([]atomic.Int64, fleet.endpoints)}
+	n := &staleNode{t: t, addr: freeAddr(t), lastSentAt: make([]atomic.Int64, fleet.endpoints)}
 	var list []string
 	for i := range fleet.endpoints {
-		upstreamAddr := testsocket.Serve(t, serveUpstreamNoting(func() { n.sentTo[i].Store(int64(time.Since(n.startedAt))) }))
+		upstreamAddr := testsocket.Serve(t, serveUpstreamWithHook(func() {
+			n.lastSentAt[i].Store(int64(time.Since(n.startedAt)))
+		}))
 		list = append(list, fmt.Sprintf(`{"instanceId":"s%d","hostPort":%q,"zone":"a","lifecycle":"active","startedAtMs":0}`,
 			i, upstreamAddr))
 	}
 	known := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`, strings.Join(list, ","))
 	discovery := freeAddr(t)
-	if trouble != nil {
+	if fault != nil {
 		discovery = testsocket.Serve(t, func(conn net.Conn) {
 			if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 				return
 			}
 			isFirst := n.calls.Add(1) == 1
 			switch {
-			case n.isBack.Load():
+			case n.isRestored.Load():
 				answerThenHold(okHead + known + "\n")(conn)
 			case isFirst && firstCall != nil:
 				firstCall(okHead + known + "\n")(conn)
 			default:
-				trouble(conn)
+				fault(conn)
 			}
 		})
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	raw := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1,"memory_mb":64,"sockets":512},"settings":%s,"known":%s}`, n.addr, discovery, settingsOfFleet(fleet.instances), known)
+		"limits":{"cores":1,"memory_mb":64,"sockets":512},"settings":%s,"known":%s}`,
+		n.addr, discovery, fleetSettings(fleet.instances), known)
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -71,54 +77,56 @@
 	return n
 }
 
-// lastSent is when the last first line came to any endpoint. All of them count: the node can't know which has left.
+// lastSent returns when the last first line arrived at any endpoint, since the start. It considers all
+// endpoints, because the node is not notified which one has left.
 func (n *staleNode) lastSent() (latest time.Duration) {
-	for i := range n.sentTo {
-		latest = max(latest, time.Duration(n.sentTo[i].Load()))
+	for i := range n.lastSentAt {
+		latest = max(latest, time.Duration(n.lastSentAt[i].Load()))
 	}
 	return latest
 }
 
-// answersAfter is what clients were answered that came after a time, by the answer's first word.
-type answersAfter struct {
-	mu     sync.Mutex
-	counts map[string]int
-	slow   int // answers that waited for something
-	bare   int // BUSY without a time to come again
+// lateAnswers counts the answers to the requests that were sent after a given time.
+type lateAnswers struct {
+	mu                sync.Mutex
+	counts            map[string]int // by the answer's first word
+	slow              int            // answers that took longer than promptAnswerLimit
+	withoutRetryAfter int            // BUSY answers without a Retry-After
 }
 
-func (a *answersAfter) note(answer string, took time.Duration) {
+func (a *lateAnswers) record(answer string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	word, retryAfter, _ := strings.Cut(answer, " ")
 	a.counts[word]++
 	if word == "BUSY" && retryAfter == "" {
-		a.bare++
+		a.withoutRetryAfter++
 	}
-	if took > promptAnswer {
+	if took > promptAnswerLimit {
 		a.slow++
 	}
 }
 
-// sendRequests has clients come until the run is over, and returns the answers to those that came after a time.
-func (n *staleNode) sendRequests(from time.Duration) *answersAfter {
-	late := &answersAfter{counts: map[string]int{}}
+// sendRequests sends requests until the run is over, and returns the answers to the requests that were sent
+// after the time from, measured since the node's start.
+func (n *staleNode) sendRequests(from time.Duration) *lateAnswers {
+	late := &lateAnswers{counts: map[string]int{}}
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for i := 0; time.Since(n.startedAt) < staleRunDuration; i++ {
 		clients.Go(func() {
-			cameAt := time.Since(n.startedAt)
+			sentAt := time.Since(n.startedAt)
 			answer := n.request(fmt.Sprint("r", i))
-			if cameAt > from {
-				late.note(answer, time.Since(n.startedAt)-cameAt)
+			if sentAt > from {
+				late.record(answer, time.Since(n.startedAt)-sentAt)
 			}
 		})
-		time.Sleep(staleSendPause)
+		time.Sleep(staleRequestInterval)
 	}
 	return late
 }
 
-// request makes one request and returns its answer.
+// request sends one request and returns its answer, or the text of an error.
 func (n *staleNode) request(id string) string {
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -134,10 +142,10 @@
 	return strings.TrimSuffix(answer, "\r\n")
 }
 
-// sendRequests has clients come to all nodes at once, until the run of each is over, and returns the answers to those
-// that came after a time of it.
-func sendRequests(nodes map[string]*staleNode, from time.Duration) map[string]*answersAfter {
-	late := map[string]*answersAfter{}
+// sendRequests sends requests to all nodes at the same time until the run of each is over. It returns, per
+// node, the answers to the requests that were sent after the time from, measured since the node's start.
+func sendRequests(nodes map[string]*staleNode, from time.Duration) map[string]*lateAnswers {
+	late := map[string]*lateAnswers{}
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	for name, n := range nodes {
@@ -152,20 +160,20 @@
 	return late
 }
 
-// returnDiscovery has discovery answer from now on, and returns how long it takes until a client is served.
-func (n *staleNode) returnDiscovery() time.Duration {
-	n.isBack.Store(true)
-	begun := time.Now()
-	for i := 0; time.Since(begun) < testTimeout; i++ {
+// restoreDiscovery lets discovery answer from now on, and returns how long it takes until a client is served.
+func (n *staleNode) restoreDiscovery() time.Duration {
+	n.isRestored.Store(true)
+	start := time.Now()
+	for i := 0; time.Since(start) < testTimeout; i++ {
 		if strings.HasPrefix(n.request(fmt.Sprint("b", i)), "UP") {
 			break
 		}
-		time.Sleep(staleSendPause)
+		time.Sleep(staleRequestInterval)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// endStaleNodes ends the nodes, which must have violated no invariant.
+// endStaleNodes terminates the nodes and requires that none has logged a violated invariant.
 func endStaleNodes(nodes map[string]*staleNode) {
 	for _, n := range nodes {
 		n.signal(syscall.SIGTERM)
--- a/cmd/coralrelay/successor_test.go
+++ b/cmd/coralrelay/successor_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// steadyClients opens sessions all the time, from four clients of which some wait before their
-// first line, until stop is called. Each must be accepted.
-func steadyClients(t *testing.T, addr string) (stop func()) {
+// startSteadyClients opens sessions one after another from four clients, until stop is called. Three of
+// them wait before they send the first line. Each session must be accepted.
+func startSteadyClients(t *testing.T, addr string) (stop func()) {
 	var clients sync.WaitGroup
 	stopped := make(chan struct{})
 	for n := range 4 {
@@ -33,7 +33,7 @@
 				}
 				fmt.Fprint(c, openLine(id))
 				if s, err := c.reader.ReadString('\n'); s != "UP r1\r\n" {
-					t.Errorf("%s was answered %q, %v", id, s, err)
+					t.Errorf("%s: answered %q, %v", id, s, err)
 				}
 				_ = c.Close()
 			}
@@ -45,9 +45,9 @@
 	}
 }
 
-// A successor takes over while clients keep coming: none is rejected or left unread in the
-// listener's queue, one that has sent nothing yet is still served, established sessions go on at
-// the successor as if nothing had been, and the old process ends in its time.
+// A successor takes over while clients keep connecting. No client is rejected or left unread in the
+// accept queue, a client that has sent nothing yet is still served, established sessions continue at the
+// successor without interruption, and the old process exits in time.
 func TestSuccessorTakesOver(t *testing.T) {
 	node := newSharedSocket(t, 256)
 	stale := filepath.Join(node.tmp, "coralrelay-"+strings.ReplaceAll(node.addr, ":", "-"))
@@ -60,24 +60,24 @@
 		sessions = append(sessions, openSession(t, node.addr, fmt.Sprint("a", i)))
 	}
 	next := node.startServing()
-	stop := steadyClients(t, node.addr)
-	begun := time.Now()
-	for i, p := range []*process{old, next, old, next, old, old, next, old} { // hang-ups around the end
+	stop := startSteadyClients(t, node.addr)
+	start := time.Now()
+	for i, p := range []*process{old, next, old, next, old, old, next, old} { // SIGHUPs around SIGTERM
 		if i == 3 {
 			old.signal(syscall.SIGTERM)
 		}
 		p.signal(syscall.SIGHUP)
 	}
 	old.untilAnswer("PING", "400")
-	writeTo := func(from, to int, text string) { // some are in the middle of a line
+	writeTo := func(from, to int, text string) { // some sessions are handed over in the middle of a line
 		for _, c := range sessions[from:to] {
 			fmt.Fprint(c, text)
 		}
 	}
 	writeTo(0, 5, "are you")
 	old.expectExit()
-	if took, most := time.Since(begun), 1900*time.Millisecond; took > most {
-		t.Errorf("it took %v, want at most %v", took, most)
+	if took, most := time.Since(start), 1900*time.Millisecond; took > most {
+		t.Errorf("the takeover took %v, want at most %v", took, most)
 	}
 	stop()
 	writeTo(0, 5, " there\r\n")
@@ -88,19 +88,19 @@
 		}
 	}
 	if s := dialClient(t, node.addr, openLine("a0")).readLine(); s != "ERR" {
-		t.Errorf("the id of a session that was handed over: %q", s)
+		t.Errorf("a request with the id of a session that was handed over: %q", s)
 	}
 	next.untilMetrics("balancer.open_requests:20|g\r\n")
 	if s := dialClient(t, node.addr, openLine("c")).readLine(); s != "UP r1" {
-		t.Errorf("at the successor: %q", s)
+		t.Errorf("a client at the successor: %q", s)
 	}
 	if s := next.adminCall("PING"); s != "200 OK\r\n" {
-		t.Errorf("the successor answers %q", s)
+		t.Errorf("PING to the successor: %q", s)
 	}
 }
 
-// notListeners are a regular file and a connection, which a platform could pass by mistake.
-func notListeners(t *testing.T, connectTo string) map[string]*os.File {
+// nonListenerFiles returns a regular file and a connection, which a platform could pass by mistake.
+func nonListenerFiles(t *testing.T, connectTo string) map[string]*os.File {
 	t.Helper()
 	plain, err := os.Create(filepath.Join(t.TempDir(), "plain"))
 	if err != nil {
@@ -122,9 +122,9 @@
 	return map[string]*os.File{"a-file": plain, "a-connection": connected}
 }
 
-// A successor that can't be one harms nobody: the old process serves on, also if the other was
-// killed, and hands over to the next one.
-func TestFailedSuccessorHarmsNobody(t *testing.T) {
+// A successor that fails to start does not disturb the service: the old process continues to serve, also
+// if the successor was killed, and hands over to the next successor.
+func TestFailedSuccessorDoesNotDisturbService(t *testing.T) {
 	node := newSharedSocket(t, 256)
 	old := node.startServing()
 	session := openSession(t, node.addr, "a")
@@ -136,16 +136,16 @@
 		}
 	}
 
-	for what, file := range notListeners(t, node.discovery) {
+	for what, file := range nonListenerFiles(t, node.discovery) {
 		p := startProcess(t, node.path, node.tmp, file)
 		if err := p.awaitExit(testTimeout); err == nil || !strings.Contains(p.log.String(), "BALANCER_INHERITED_FD") {
-			t.Errorf("%s in the listener's place: %v, %s", what, err, p.log)
+			t.Errorf("%s in place of the listener: %v, %s", what, err, p.log)
 		}
 		expectServing(what)
 	}
 
 	killed := node.start()
-	time.Sleep(20 * time.Millisecond) // somewhere in its start
+	time.Sleep(20 * time.Millisecond) // kills the process at some point of its start
 	_ = killed.Process.Kill()
 	_ = killed.awaitExit(testTimeout)
 	expectServing("killed")
@@ -156,7 +156,7 @@
 	if err != nil || len(left) != 2 {
 		t.Fatalf("sockets in the directory: %v, %v", left, err)
 	}
-	for _, path := range left { // somebody has tidied up: sessions can only be migrated
+	for _, path := range left { // without the sockets, sessions can't be handed over, only migrated
 		if err := os.Remove(path); err != nil {
 			t.Fatal(err)
 		}
@@ -164,12 +164,12 @@
 	old.expectMoveAndExit(session)
 }
 
-// State that the old process holds and can't hand over ends a successor's start with the reason,
-// and the old one has lost nothing.
+// If the old process holds state that it can't hand over, the successor's start fails with the reason,
+// and the old process continues to serve.
 func TestSuccessorRefusedWhileStateIsExclusive(t *testing.T) {
 	for key, operatorFile := range map[string]string{
 		"resume.enabled": fmt.Sprintf(`{"resume":{"enabled":true,"keys":%q,"ledger":{"dir":%q}}}`,
-			resumptionEnabled(t).Resume.KeyDir, t.TempDir()),
+			resumptionOperatorFile(t).Resume.KeyDir, t.TempDir()),
 		"udp.listen": fmt.Sprintf(`{"udp":{"listen":%q}}`, freeAddr(t)),
 	} {
 		t.Run(key, func(t *testing.T) {
@@ -184,7 +184,7 @@
 				t.Errorf("%v: %s", err, next.log)
 			}
 			if s := dialClient(t, node.addr, openLine("a")).readLine(); s != "UP r1" {
-				t.Errorf("at the old one: %q", s)
+				t.Errorf("a client at the old process: %q", s)
 			}
 		})
 	}
--- a/cmd/coralrelay/termination_test.go
+++ b/cmd/coralrelay/termination_test.go
@@ -15,38 +15,39 @@
 	"coralrelay/internal/testsocket"
 )
 
-// A planned restart migrates sessions, rejects new clients, and ends in time.
+// A planned restart migrates the sessions, rejects new clients, and completes in time.
 func TestTerminationMovesSessions(t *testing.T) {
-	var got atomic.Int32
-	addr, terminate, done := startNode(t, testsocket.Serve(t, serveUpstream(&got)), 1024)
+	var firstLines atomic.Int32
+	addr, terminate, done := startNode(t, testsocket.Serve(t, serveUpstream(&firstLines)), 1024)
 	var sessions []*client
 	for i := range 8 {
 		sessions = append(sessions, openSession(t, addr, fmt.Sprint("a", i)))
 	}
-	begun := time.Now()
+	start := time.Now()
 	terminate()
-	first := sessions[0].readLine() // clients are accepted while the other sessions go on
-	if after := time.Since(begun); after < 500*time.Millisecond {
-		t.Errorf("migrated after %v: the front still sends clients here", after)
+	first := sessions[0].readLine() // the other sessions are still open when the next client connects
+	if after := time.Since(start); after < 500*time.Millisecond {
+		t.Errorf("migrated after %v, while the front still sends clients to this node", after)
 	}
 	if s := dialClient(t, addr, openLine("b")).readLine(); s != "BUSY 500" {
 		t.Errorf("a new client: %q", s)
 	}
 	for _, c := range sessions[1:] {
 		if s := c.readLine(); s != "MOVE" || first != "MOVE" {
-			t.Errorf("sessions: %q, %q", first, s)
+			t.Errorf("the first session: %q, another one: %q", first, s)
 		}
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if took, most := time.Since(begun), 1900*time.Millisecond; took > most {
+	if took, most := time.Since(start), 1900*time.Millisecond; took > most {
 		t.Errorf("took %v, want at most %v", took, most)
 	}
 }
 
-// replaceByPipe has whoever reads the file wait until something is written.
-func replaceByPipe(t *testing.T, path string) {
+// replaceWithFIFO replaces the file with a FIFO, so that a process that reads it waits until the test
+// writes to it.
+func replaceWithFIFO(t *testing.T, path string) {
 	t.Helper()
 	_ = os.Remove(path)
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -54,20 +55,21 @@
 	}
 }
 
-// A first line counts as it is when the node is terminated: one that was complete is served, one
-// that becomes complete after that is rejected, one that never does is rejected at the latest when
-// the node ends; each has one answer and an end that is no reset.
+// What has arrived of a first line at the time of the termination decides its treatment: a line that was
+// complete is served, a line that becomes complete later is rejected, and a line that never becomes
+// complete is rejected when the node ends at the latest. Each client gets one answer, and its connection
+// ends without a reset.
 func TestFirstLinesAroundTermination(t *testing.T) {
-	p, addr, _, got := startServingNode(t, 1024)
+	p, addr, _, firstLines := startServingNode(t, 1024)
 	type testCase struct {
-		name, before, after, late, want string // late: once it has been answered
+		name, before, after, late, want string // late is sent after the answer; | separates writes
 		*client
 	}
 	cases := []*testCase{
 		{name: "complete before", before: openLine("a"), want: "UP r1\r\nMOVE\r\n"},
 		{name: "complete before, in pieces", before: "OP|EN b k1 c=fe|ed,d=1200\r|\n", want: "UP r1\r\nMOVE\r\n"},
-		{name: "over the end", before: "OPEN c k1 c=fe", after: "ed,d=1200\r\n", want: "BUSY 500\r\n"},
-		{name: "its end over the end", before: "OPEN d k1 c=feed,d=1200\r", after: "\n", want: "BUSY 500\r\n"},
+		{name: "line split", before: "OPEN c k1 c=fe", after: "ed,d=1200\r\n", want: "BUSY 500\r\n"},
+		{name: "line end split", before: "OPEN d k1 c=feed,d=1200\r", after: "\n", want: "BUSY 500\r\n"},
 		{name: "complete after", after: openLine("e"), want: "BUSY 500\r\n"},
 		{name: "complete after, in pieces", after: "OPEN f k|1 c=feed,|d=1200\r\n", want: "BUSY 500\r\n"},
 		{name: "half before", before: "OPEN g k1 c=fe", late: "ed,d=1200\r\n", want: "BUSY 500\r\n"},
@@ -85,11 +87,11 @@
 	for _, c := range cases {
 		c.client = dialClient(t, addr, "")
 		write(c.client, c.before)
-		if c.before == "PING\r\n" { // it is read before
+		if c.before == "PING\r\n" { // the node must read it before SIGTERM
 			_, _ = c.reader.Peek(len("PONG\r\n"))
 		}
 	}
-	for begun := time.Now(); got.Load() < 2 && time.Since(begun) < testTimeout; {
+	for start := time.Now(); firstLines.Load() < 2 && time.Since(start) < testTimeout; {
 		time.Sleep(time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
@@ -111,23 +113,23 @@
 		c.Close()
 	}
 	p.expectExit()
-	if n := got.Load(); n != 2 {
-		t.Errorf("%d first lines went on, want 2", n)
+	if n := firstLines.Load(); n != 2 {
+		t.Errorf("%d first lines were forwarded, want 2", n)
 	}
 }
 
-// A node that is terminated while it starts comes up, rejects clients and ends without an error;
-// so it does however often it is terminated.
+// A node that receives SIGTERM during its start completes the start, rejects clients and exits without an
+// error. Further SIGTERMs do not change that.
 func TestTerminatedInItsStart(t *testing.T) {
-	var got atomic.Int32
-	upstreamAddr := testsocket.Serve(t, serveUpstream(&got))
+	var firstLines atomic.Int32
+	upstreamAddr := testsocket.Serve(t, serveUpstream(&firstLines))
 	addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, addr, startDiscovery(t, upstreamAddr), upstreamAddr, 1024)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaceByPipe(t, path)
+	replaceWithFIFO(t, path)
 	p := startProcess(t, path, t.TempDir(), nil)
 	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the node reads it
 	if err != nil {
@@ -140,25 +142,25 @@
 	writer.Close()
 	awaitListening(t, addr)
 	if s := dialClient(t, addr, openLine("a")).readToEnd(); s != "BUSY 500\r\n" {
-		t.Errorf("a client: %q", s)
+		t.Errorf("a client of the terminated node: %q", s)
 	}
 	for ended := false; !ended; {
 		select {
 		case err := <-p.exited:
 			if ended = true; err != nil {
-				t.Errorf("it ended with %v\n%s", err, p.log)
+				t.Errorf("the process exited with %v\n%s", err, p.log)
 			}
 		default:
 			_ = p.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	if got.Load() > 0 {
-		t.Error("a first line went on")
+	if firstLines.Load() > 0 {
+		t.Error("a first line was forwarded")
 	}
 }
 
-// A successor that is terminated while it waits for discovery ends at once, and the process that
-// serves goes on.
+// A successor that is terminated while it waits for discovery exits at once, and the old process continues to
+// serve.
 func TestSuccessorTerminatedBeforeItIsReady(t *testing.T) {
 	node := newSharedSocket(t, 256)
 	old := node.startServing()
@@ -173,29 +175,29 @@
 	next := node.start()
 	<-discoveryCalled
 	if s := next.adminCall("PING"); !strings.HasPrefix(s, "400") {
-		t.Fatalf("it is ready: %q", s)
+		t.Fatalf("the successor is ready before its first list: %q", s)
 	}
-	begun := time.Now()
+	terminatedAt := time.Now()
 	next.signal(syscall.SIGTERM)
 	next.expectExit()
-	if took := time.Since(begun); took > 1500*time.Millisecond {
-		t.Errorf("it took %v", took)
+	if took := time.Since(terminatedAt); took > 1500*time.Millisecond {
+		t.Errorf("the successor took %v to exit, want at most 1.5 s", took)
 	}
-	session.expectRelayed("after it")
+	session.expectRelayed("after the successor's exit")
 	if s := dialClient(t, node.addr, openLine("b")).readLine(); s != "UP r1" {
 		t.Errorf("a new client: %q", s)
 	}
 	old.expectMoveAndExit(session)
 }
 
-// An operator's drain that has begun becomes that of the end: sessions that were not migrated yet
-// are, and REJOIN changes nothing any more.
+// SIGTERM during a lame duck drain makes the drain final: the remaining sessions are migrated, and REJOIN
+// has no effect any more.
 func TestTerminatedWhileDraining(t *testing.T) {
 	p, addr, _, _ := startServingNode(t, 1024)
 	session := openSession(t, addr, "a")
 	silent := dialClient(t, addr, "")
 	p.adminCall("LAMEDUCK")
-	begun := time.Now()
+	start := time.Now()
 	p.signal(syscall.SIGTERM)
 	for isEnding := false; !isEnding; {
 		p.adminCall("REJOIN")
@@ -210,7 +212,7 @@
 	}
 	silent.Close()
 	p.expectExit()
-	if took, most := time.Since(begun), 1700*time.Millisecond; took > most {
-		t.Errorf("it took %v, want at most %v", took, most)
+	if took, most := time.Since(start), 1700*time.Millisecond; took > most {
+		t.Errorf("the drain took %v, want at most %v", took, most)
 	}
 }
--- a/cmd/coralrelay/tokenresumption_test.go
+++ b/cmd/coralrelay/tokenresumption_test.go
@@ -16,14 +16,14 @@
 	"coralrelay/internal/testsocket"
 )
 
-// resumableServer is an upstream with resumable streams.
-type resumableServer struct {
-	received   chan string  // gets the lines that it receives
-	replies    chan string  // is sent to its client; an empty text resets the connection
-	rejectsAll *atomic.Bool // with a busy answer
+// resumableUpstream is an upstream with resumable streams.
+type resumableUpstream struct {
+	received   chan string  // the lines that the upstream receives
+	replies    chan string  // the texts that it sends; an empty text resets the connection
+	rejectsAll *atomic.Bool // rejects each OPEN with BUSY
 }
 
-func (r resumableServer) serve(conn net.Conn) {
+func (r resumableUpstream) serve(conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		switch command, _, _ := strings.Cut(lines.Text(), " "); command {
 		case "STATS":
@@ -42,7 +42,7 @@
 	}
 }
 
-func (r resumableServer) sendReplies(conn net.Conn) {
+func (r resumableUpstream) sendReplies(conn net.Conn) {
 	for text := range r.replies {
 		if text == "" {
 			_ = conn.(*net.TCPConn).SetLinger(0)
@@ -53,23 +53,25 @@
 	}
 }
 
-// startResumptionNode starts a node with the operator's file, before a resumableServer. The test ends
-// after the node, whose store is in a directory of the test.
-func startResumptionNode(t *testing.T, operatorFile operatorconfig.File) (addr string, server resumableServer) {
+// startResumptionNode starts a node with the operator's file and a resumableUpstream. The node is
+// terminated before the test ends, because its store is in a directory of the test.
+func startResumptionNode(
+	t *testing.T, operatorFile operatorconfig.File,
+) (addr string, upstream resumableUpstream) {
 	t.Helper()
-	server = resumableServer{make(chan string, 8), make(chan string, 8), new(atomic.Bool)}
-	addr, terminate, done := startServe(t, testsocket.Serve(t, server.serve), 1024, operatorFile)
+	upstream = resumableUpstream{make(chan string, 8), make(chan string, 8), new(atomic.Bool)}
+	addr, terminate, done := startServe(t, testsocket.Serve(t, upstream.serve), 1024, operatorFile)
 	t.Cleanup(func() {
 		terminate()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
-	return addr, server
+	return addr, upstream
 }
 
-// resumptionEnabled is an operator's file that switches resumption on, with a new key.
-func resumptionEnabled(t *testing.T) operatorconfig.File {
+// resumptionOperatorFile returns an operator's file that enables resumption with a new key.
+func resumptionOperatorFile(t *testing.T) operatorconfig.File {
 	t.Helper()
 	operatorFile := operatorconfig.Default()
 	operatorFile.Resume.Enabled, operatorFile.Resume.KeyDir = true, filepath.Join(t.TempDir(), "keys")
@@ -84,119 +86,120 @@
 	return "OPEN " + id + " k1 c=feed,d=1200,g=5c,rs=" + rs + "\r\n"
 }
 
-// A client whose upstream breaks off gets a token, resumes with it, and gets a snapshot for the same
-// token once more; each starts the upstream's stream.
+// A client whose upstream connection breaks gets a token and resumes the stream with it. A second use of
+// the same token gets a snapshot. Each of these requests starts a stream at the upstream.
 func TestResumesStreamWithToken(t *testing.T) {
-	addr, server := startResumptionNode(t, resumptionEnabled(t))
+	addr, upstream := startResumptionNode(t, resumptionOperatorFile(t))
 	openStream := func(id, rs string) (*client, string) {
 		t.Helper()
 		c := dialClient(t, addr, openResumableLine(id, rs))
-		server.replies <- "UP r1 rs=1\r\n"
-		if s := <-server.received; !strings.HasSuffix(s, ",g=5c,rs=1") {
+		upstream.replies <- "UP r1 rs=1\r\n"
+		if s := <-upstream.received; !strings.HasSuffix(s, ",g=5c,rs=1") {
 			t.Fatalf("the upstream got %q", s)
 		}
 		if s := c.readLine(); s != "UP r1 rs=1" {
 			t.Fatalf("answered %q", s)
 		}
-		return c, <-server.received
+		return c, <-upstream.received
 	}
 	c, start := openStream("a", "1")
 	if start != "START" {
-		t.Fatalf("a new client's stream: %q", start)
+		t.Fatalf("the stream of a new client: %q", start)
 	}
-	server.replies <- "SNAPSHOT c0:40 1\r\nITEM 1 1\r\nUPD 41 1 2\r\n"
+	upstream.replies <- "SNAPSHOT c0:40 1\r\nITEM 1 1\r\nUPD 41 1 2\r\n"
 	for range 3 {
 		c.readLine()
 	}
-	server.replies <- "" // breaks off
+	upstream.replies <- "" // resets the connection
 	answer, token, _ := strings.Cut(c.readLine(), " ")
 	if answer != "MOVE" || token == "" {
-		t.Fatalf("%q %q, want a move with a token", answer, token)
+		t.Fatalf("%q %q, want MOVE with a token", answer, token)
 	}
 	c, start = openStream("b", token)
 	if !strings.HasPrefix(start, "START resume=c0:41 at=") || !strings.Contains(start, " id=") {
-		t.Fatalf("with the token: %q", start)
+		t.Fatalf("the stream with the token: %q", start)
 	}
-	server.replies <- "RESUMED c0:41\r\nMOVE\r\n" // it drains, and migrates its clients itself
+	upstream.replies <- "RESUMED c0:41\r\nMOVE\r\n" // the upstream drains and migrates its clients itself
 	c.readLine()
 	if answer, next, _ := strings.Cut(c.readLine(), " "); answer != "MOVE" || next == "" || next == token {
-		t.Fatalf("%q %q, want a move with a token of its own", answer, next)
+		t.Fatalf("%q %q, want MOVE with a new token", answer, next)
 	}
-	server.replies <- ""
+	upstream.replies <- ""
 	if _, start = openStream("c", token); !strings.HasPrefix(start, "START after=c0:41 at=") {
-		t.Fatalf("with a spent token: %q", start)
+		t.Fatalf("the stream with a spent token: %q", start)
 	}
-	server.replies <- ""
+	upstream.replies <- ""
 	if _, start = openStream("d", "no-token"); start != "START" {
-		t.Fatalf("with what is no token: %q", start)
+		t.Fatalf("the stream with a malformed token: %q", start)
 	}
 }
 
-// A busy answer leaves the token unspent: it is redeemed only once an upstream has accepted.
+// A BUSY answer leaves the token unspent: a token is redeemed only after an upstream has accepted the
+// session.
 func TestBusyLeavesTokenUnspent(t *testing.T) {
-	addr, server := startResumptionNode(t, resumptionEnabled(t))
+	addr, upstream := startResumptionNode(t, resumptionOperatorFile(t))
 	c := dialClient(t, addr, openResumableLine("a", "1"))
-	server.replies <- "UP r1 rs=1\r\n"
+	upstream.replies <- "UP r1 rs=1\r\n"
 	c.readLine()
-	<-server.received
-	<-server.received
-	server.replies <- "RESUMED c0:41\r\n"
+	<-upstream.received
+	<-upstream.received
+	upstream.replies <- "RESUMED c0:41\r\n"
 	c.readLine()
-	server.replies <- ""
+	upstream.replies <- ""
 	_, token, _ := strings.Cut(c.readLine(), " ")
-	server.rejectsAll.Store(true)
+	upstream.rejectsAll.Store(true)
 	if s := dialClient(t, addr, openResumableLine("b", token)).readLine(); !strings.HasPrefix(s, "BUSY") {
 		t.Fatalf("answered %q", s)
 	}
-	server.rejectsAll.Store(false)
+	upstream.rejectsAll.Store(false)
 	c = dialClient(t, addr, openResumableLine("c", token))
-	server.replies <- "UP r1 rs=1\r\n"
+	upstream.replies <- "UP r1 rs=1\r\n"
 	c.readLine()
-	<-server.received
-	if start := <-server.received; !strings.HasPrefix(start, "START resume=c0:41 ") {
-		t.Errorf("the token after a busy answer: %q", start)
+	<-upstream.received
+	if start := <-upstream.received; !strings.HasPrefix(start, "START resume=c0:41 ") {
+		t.Errorf("the stream with the token after BUSY: %q", start)
 	}
 }
 
-// A replay guard that can't be opened does not keep the node from serving.
+// A node whose replay guard can't be opened still serves.
 func TestServesWithoutReplayGuard(t *testing.T) {
-	operatorFile := resumptionEnabled(t)
+	operatorFile := resumptionOperatorFile(t)
 	operatorFile.Resume.ReplayGuard.Dir = filepath.Join(operatorFile.Resume.KeyDir, "nowhere")
-	if err := os.WriteFile(operatorFile.Resume.ReplayGuard.Dir, nil, 0o600); err != nil { // a file stands in its place
+	if err := os.WriteFile(operatorFile.Resume.ReplayGuard.Dir, nil, 0o600); err != nil { // not a directory
 		t.Fatal(err)
 	}
-	addr, server := startResumptionNode(t, operatorFile)
+	addr, upstream := startResumptionNode(t, operatorFile)
 	c := dialClient(t, addr, openResumableLine("a", "1"))
-	server.replies <- "UP r1 rs=1\r\n"
+	upstream.replies <- "UP r1 rs=1\r\n"
 	c.readLine()
-	<-server.received
-	<-server.received
-	server.replies <- "RESUMED c0:41\r\nMOVE\r\n"
+	<-upstream.received
+	<-upstream.received
+	upstream.replies <- "RESUMED c0:41\r\nMOVE\r\n"
 	c.readLine()
-	if s := c.readLine(); s != "MOVE" { // nobody could arbitrate a token
-		t.Errorf("moved with %q", s)
+	if s := c.readLine(); s != "MOVE" { // without a token, for which there would be no arbiter
+		t.Errorf("answered %q, want MOVE without a token", s)
 	}
-	server.replies <- ""
+	upstream.replies <- ""
 }
 
-// Where resumption is off, or was not requested, nothing on any socket differs; an upstream without
-// such streams gets no START.
+// If resumption is disabled or not requested, nothing that is sent on any connection changes. An upstream
+// without resumable streams gets no START.
 func TestResumptionOffChangesNothing(t *testing.T) {
-	on := resumptionEnabled(t)
+	on := resumptionOperatorFile(t)
 	for name, c := range map[string]struct {
 		operatorFile operatorconfig.File
 		list         string
 		up           string
 	}{
-		"off":          {operatorconfig.Default(), "c=feed,d=1200,rs=TOKEN,g=5c", "UP r1 rs=1"},
-		"not asked":    {on, "c=feed,d=1200,g=5c", "UP r1"},
-		"old upstream": {on, "c=feed,d=1200,g=5c,rs=1", "UP r1"},
+		"off":           {operatorconfig.Default(), "c=feed,d=1200,rs=TOKEN,g=5c", "UP r1 rs=1"},
+		"not requested": {on, "c=feed,d=1200,g=5c", "UP r1"},
+		"old upstream":  {on, "c=feed,d=1200,g=5c,rs=1", "UP r1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, server := startResumptionNode(t, c.operatorFile)
+			addr, upstream := startResumptionNode(t, c.operatorFile)
 			client := dialClient(t, addr, "OPEN a k1 "+c.list+"\r\n")
-			server.replies <- c.up + "\r\n"
-			got := <-server.received
+			upstream.replies <- c.up + "\r\n"
+			got := <-upstream.received
 			before, after, _ := strings.Cut(c.list, "d=1200")
 			if !strings.HasPrefix(got, "OPEN a k1 "+before+"d=") || !strings.HasSuffix(got, after) {
 				t.Errorf("the upstream got %q", got)
@@ -204,19 +207,19 @@
 			if s := client.readLine(); s != c.up {
 				t.Errorf("answered %q", s)
 			}
-			server.replies <- "UPD 3 1 1\r\nMOVE\r\n"
+			upstream.replies <- "UPD 3 1 1\r\nMOVE\r\n"
 			if s := client.readLine(); s != "UPD 3 1 1" {
 				t.Errorf("relayed %q", s)
 			}
 			if s := client.readLine(); s != "MOVE" {
-				t.Errorf("moved with %q", s)
+				t.Errorf("answered %q, want MOVE without a token", s)
 			}
 			select {
-			case s := <-server.received:
-				t.Errorf("the upstream got %q too", s)
+			case s := <-upstream.received:
+				t.Errorf("the upstream also got %q", s)
 			default:
 			}
-			server.replies <- ""
+			upstream.replies <- ""
 		})
 	}
 }
--- a/cmd/coralrelay/watch_test.go
+++ b/cmd/coralrelay/watch_test.go
@@ -13,8 +13,8 @@
 	"coralrelay/internal/testsocket"
 )
 
-// A node whose list is pushed watches it from its first moment, and anew when a watch has ended, also
-// by the settings of a reload.
+// A node whose list is pushed starts a watch when it starts, and a new one whenever a watch has ended,
+// also after a reload of the settings.
 func TestWatchesPushedList(t *testing.T) {
 	calls, end := make(chan string, 8), make(chan bool)
 	discovery := testsocket.Serve(t, func(conn net.Conn) {
@@ -43,7 +43,7 @@
 				t.Fatalf("requested %q", call)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("discovery gets no request")
+			t.Fatal("discovery got no request")
 		}
 	}
 	p := startProcess(t, path, t.TempDir(), nil)
