--- a/internal/keyfile/authority.go
+++ b/internal/keyfile/authority.go
@@ -16,9 +16,10 @@
 	publicField = "public"
 )
 
-// CreateAuthority writes a new Ed25519 key, which signs changes of accounts, into a file of
-// that name, which must not exist, and returns its path and public key. The directory must
-// not be that of resume keys: every file *.key there is read as one.
+// CreateAuthority generates an Ed25519 key that signs changes to accounts, writes it to a new
+// file in dir, and returns the file's path and the public key. It is an error if the file
+// exists. dir must not be a directory of resume keys, because Load reads every file with the
+// suffix .key there as a resume key.
 func CreateAuthority(dir, name string) (path string, public ed25519.PublicKey, err error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -31,7 +32,8 @@
 	return path, public, err
 }
 
-// LoadAuthority reads a key that signs changes of accounts.
+// LoadAuthority reads an authority key. It is an error if the file's public key does not belong
+// to its secret.
 func LoadAuthority(path string) (ed25519.PrivateKey, error) {
 	values, err := readFields(path, authorityHeader, kindField, publicField, secretField)
 	if err != nil {
@@ -47,7 +49,7 @@
 	}
 	private := ed25519.NewKeyFromSeed(seed)
 	if base64.StdEncoding.EncodeToString(private[ed25519.SeedSize:]) != public {
-		return nil, fmt.Errorf("%s: public: is not of this secret", path)
+		return nil, fmt.Errorf("%s: public: does not match the secret", path)
 	}
 	return private, nil
 }
--- a/internal/keyfile/authority_test.go
+++ b/internal/keyfile/authority_test.go
@@ -30,11 +30,11 @@
 		}
 	}
 	for name, text := range map[string]string{
-		"cut":             intact[:len(intact)-3],
-		"another's":       strings.Replace(intact, secret, strings.Repeat("0", 64), 1),
-		"another kind":    strings.Replace(intact, "ed25519", "rsa", 1),
-		"a resume key":    strings.Replace(intact, authorityHeader, keyHeader, 1),
-		"a line too many": intact + "x\n",
+		"cut":                    intact[:len(intact)-3],
+		"another's":              strings.Replace(intact, secret, strings.Repeat("0", 64), 1),
+		"another kind of key":    strings.Replace(intact, "ed25519", "rsa", 1),
+		"header of a resume key": strings.Replace(intact, authorityHeader, keyHeader, 1),
+		"an extra line":          intact + "x\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			write(text)
@@ -46,10 +46,10 @@
 	if err := os.Chmod(path, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadAuthority(path); err == nil || !strings.Contains(err.Error(), "others may read it") {
-		t.Errorf("readable by all: %v", err)
+	if _, err := LoadAuthority(path); err == nil || !strings.Contains(err.Error(), "accessible by others") {
+		t.Errorf("loading a file with mode 0644: %v", err)
 	}
 	if _, _, err := CreateAuthority(t.TempDir()+"/new", "a"); err != nil {
-		t.Errorf("a new directory: %v", err)
+		t.Errorf("creating a key in a new directory: %v", err)
 	}
 }
--- a/internal/keyfile/format.go
+++ b/internal/keyfile/format.go
@@ -12,17 +12,18 @@
 const (
 	filePermissions = 0o600
 	dirPermissions  = 0o700
-	// othersPermissions are the bits that a key file must not have.
-	othersPermissions = 0o077
-	// maxFileSize bounds what is read of a key file, in bytes.
+	// forbiddenPermissions are the permissions of the group and of others, none of which a key
+	// file may grant.
+	forbiddenPermissions = 0o077
+	// maxFileSize is the size of the largest key file that is read, in bytes.
 	maxFileSize = 4096
 )
 
 // field is one line of a key file.
 type field struct{ name, value string }
 
-// createFile writes a key file of that name, which must not exist, and returns its path. The
-// directory is created if needed.
+// createFile writes a new key file in dir and returns its path. It creates dir if needed. It is
+// an error if the file exists.
 func createFile(dir, name, header string, fields ...field) (path string, err error) {
 	if err := os.MkdirAll(dir, dirPermissions); err != nil {
 		return "", err
@@ -41,30 +42,30 @@
 	return path, errors.Join(err, file.Sync(), file.Close())
 }
 
-// readFields reads a key file that has this header and fields of these names, and returns the
-// fields' values.
+// readFields reads a key file and returns the values of its fields. It is an error if the file
+// does not consist of the header and exactly the named fields in this order.
 func readFields(path, header string, names ...string) ([]string, error) {
-	text, err := readPrivate(path)
+	text, err := readPrivateFile(path)
 	if err != nil {
 		return nil, err
 	}
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if len(lines) != len(names)+1 || lines[0] != header {
-		return nil, fmt.Errorf("want %d lines, the first %q", len(names)+1, header)
+		return nil, fmt.Errorf("want %d lines, the first of which is %q", len(names)+1, header)
 	}
 	values := make([]string, len(names))
 	for i, name := range names {
 		value, ok := strings.CutPrefix(lines[i+1], name+" ")
 		if !ok {
-			return nil, fmt.Errorf("line %d: want %s", i+2, name)
+			return nil, fmt.Errorf("line %d: want field %s", i+2, name)
 		}
 		values[i] = value
 	}
 	return values, nil
 }
 
-// readPrivate reads a small file that nobody but its owner may access.
-func readPrivate(path string) (string, error) {
+// readPrivateFile reads a file of at most maxFileSize bytes that only its owner may access.
+func readPrivateFile(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -74,10 +75,11 @@
 	switch {
 	case err != nil:
 		return "", err
-	case info.Mode().Perm()&othersPermissions != 0:
-		return "", fmt.Errorf("mode is %04o, others may read it; want %04o", info.Mode().Perm(), filePermissions)
+	case info.Mode().Perm()&forbiddenPermissions != 0:
+		return "", fmt.Errorf("mode %04o: accessible by others, want %04o",
+			info.Mode().Perm(), filePermissions)
 	case info.Size() > maxFileSize:
-		return "", fmt.Errorf("%d bytes is no key", info.Size())
+		return "", fmt.Errorf("size of %d bytes is too large for a key file", info.Size())
 	}
 	text, err := io.ReadAll(io.LimitReader(file, maxFileSize))
 	return string(text), err
--- a/internal/keyfile/keyfile.go
+++ b/internal/keyfile/keyfile.go
@@ -16,7 +16,8 @@
 const (
 	keySuffix = ".key"
 	keyHeader = "coralrelay-resume-key-1"
-	// maxKeys is how many keys a directory may have: each token's is looked for in turn.
+	// maxKeys is the maximum number of resume keys in a directory. It is limited because the
+	// key of each token is found by a linear search.
 	maxKeys = 64
 
 	idField        = "id"
@@ -24,8 +25,8 @@
 	secretField    = "secret"     // hexadecimal digits
 )
 
-// Create writes a new resume key, which signs from signingStartsAt on, into the directory, and
-// returns its file and id.
+// Create generates a resume key that signs from signingStartsAt on, writes it to a new file in
+// dir, and returns the file's path and the key's id.
 func Create(dir string, signingStartsAt time.Time) (path string, id resumetoken.KeyID, err error) {
 	var random [4 + resumetoken.SecretSize]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -39,23 +40,23 @@
 	return path, id, err
 }
 
-// HasKeys reports whether the directory has a resume key.
+// HasKeys reports whether dir contains a resume key file.
 func HasKeys(dir string) bool {
 	paths, err := keyFiles(dir)
 	return err == nil && len(paths) > 0
 }
 
-// Load reads a directory's resume keys. It is an error if there is none, or a file *.key that
-// can't be read as one.
+// Load reads the resume keys in dir. It is an error if there are none, if there are more than
+// maxKeys, or if a file with the suffix .key is not a valid resume key.
 func Load(dir string) (*resumetoken.KeyRing, error) {
 	paths, err := keyFiles(dir)
 	switch {
 	case err != nil:
 		return nil, err
 	case len(paths) == 0:
-		return nil, fmt.Errorf("%s: no file *%s; make one with 'coralctl key new'", dir, keySuffix)
+		return nil, fmt.Errorf("%s: no *%s file; create one with 'coralctl key new'", dir, keySuffix)
 	case len(paths) > maxKeys:
-		return nil, fmt.Errorf("%s: %d keys, at most %d are read; remove those whose tokens have expired",
+		return nil, fmt.Errorf("%s: %d keys, want at most %d; remove keys whose tokens have expired",
 			dir, len(paths), maxKeys)
 	}
 	var keys []*resumetoken.Key
@@ -86,7 +87,8 @@
 	}
 	secret, err := hex.DecodeString(values[2])
 	if err != nil {
-		return nil, errors.New("secret: not hexadecimal") // the text itself stays out of the log
+		// err is not wrapped, because its text can quote the secret.
+		return nil, errors.New("secret: not hexadecimal")
 	}
 	return resumetoken.NewKey(resumetoken.KeyID(id), signingStartsAt, secret)
 }
--- a/internal/keyfile/keyfile_test.go
+++ b/internal/keyfile/keyfile_test.go
@@ -11,7 +11,7 @@
 func TestCreateAndLoadKeys(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	if _, err := Load(dir); err == nil || !strings.Contains(err.Error(), "coralctl key new") {
-		t.Errorf("no directory: %v", err)
+		t.Errorf("loading a directory that does not exist: %v", err)
 	}
 	path, id, err := Create(dir, time.Now().Add(-time.Minute))
 	if err != nil {
@@ -25,7 +25,7 @@
 		t.Fatal(ring, err)
 	}
 	if key, ok := ring.SigningKey(time.Now()); !ok || key.ID != id {
-		t.Errorf("%v signs, want %v", key, id)
+		t.Errorf("signing key %v, want %v", key, id)
 	}
 	intact, err := os.ReadFile(path)
 	if err != nil {
@@ -34,10 +34,12 @@
 	secret := strings.Fields(string(intact))[6]
 	write := func(text []byte) { _ = os.WriteFile(path, text, 0o600) }
 	for name, damage := range map[string]func(){
-		"others may read it": func() { _ = os.Chmod(path, 0o640) },
-		"cut":                func() { write(intact[:len(intact)-3]) },
-		"no time":            func() { write([]byte(strings.Replace(string(intact), "signs-from 2", "signs-from x", 1))) },
-		"too large":          func() { write(make([]byte, 5000)) },
+		"accessible by others": func() { _ = os.Chmod(path, 0o640) },
+		"cut":                  func() { write(intact[:len(intact)-3]) },
+		"invalid time": func() {
+			write([]byte(strings.Replace(string(intact), "signs-from 2", "signs-from x", 1)))
+		},
+		"too large": func() { write(make([]byte, 5000)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			damage()
@@ -52,10 +54,10 @@
 	}
 }
 
-// requireSafeError checks that an error names the file and does not contain the secret.
+// requireSafeError checks that err names the file and does not contain the secret.
 func requireSafeError(t *testing.T, err error, path, secret string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), secret[:20]) {
-		t.Errorf("%v, want an error that names the file and not the secret", err)
+		t.Errorf("error %v, want one that names the file and does not contain the secret", err)
 	}
 }
--- a/internal/resumption/resumption.go
+++ b/internal/resumption/resumption.go
@@ -1,9 +1,10 @@
-// Package resumption lets a migrated client of the line protocol go on where it was. It
-// follows the position in the stream that an upstream sends, puts it into the MOVE as a
-// token, and starts the stream of a client that presents one.
+// Package resumption lets a migrated client of the line protocol resume its stream. It tracks
+// the position of each session in its stream, mints a token of this position for the MOVE, and
+// formats the line that starts the stream of a client that presents a token.
 //
-// The package starts no goroutines and returns no errors: a token that can't be redeemed
-// starts the stream from its beginning or from the position that the client states.
+// The package starts no goroutines and returns no errors: if a token can't be redeemed, the
+// stream starts from its beginning, with a state that is not older than the position in the
+// token or the one that the client claims, if any.
 package resumption
 
 import (
@@ -16,22 +17,24 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// TokenService mints and redeems resume tokens; *replayguard.Service does. Redeem may ask
-// another node and ends with its context.
+// TokenService mints and redeems resume tokens. It is implemented by *replayguard.Service.
+// Redeem may send a request to another node; it returns when its context ends.
 type TokenService interface {
 	Mint(flowKey, group string, pos resumetoken.Position) string
-	Redeem(ctx context.Context, p resumetoken.Presentation) resumetoken.Outcome
+	Redeem(ctx context.Context, presentation resumetoken.Presentation) resumetoken.Outcome
 }
 
 var _ TokenService = (*replayguard.Service)(nil)
 
-// Factory makes the resumption of each session. It is a downstream.ResumptionProvider.
+// Factory creates the resumption of each session. It implements downstream.ResumptionProvider.
 type Factory struct{ Tokens TokenService }
 
-// Resumption returns a session's resumption and removes its token from the line that
-// upstreams get.
+// Resumption returns the resumption of a session and removes the client's token from the line
+// that is forwarded to upstreams.
 func (f Factory) Resumption(request *lineproto.ConnectRequest) proxy.Resumption {
-	s := &sessionResumption{tokens: f.Tokens, flowKey: request.Key, group: request.Group, acceptedAt: time.Now()}
+	s := &sessionResumption{
+		tokens: f.Tokens, flowKey: request.Key, group: request.Group, acceptedAt: time.Now(),
+	}
 	if request.ResumeToken != lineproto.ResumeWanted {
 		s.presentedToken = request.ResumeToken
 	}
@@ -42,37 +45,38 @@
 	return s
 }
 
-// sessionResumption is a proxy.Resumption. StartLine may run beside the other methods,
-// which are called by one goroutine.
+// sessionResumption implements proxy.Resumption. StartLine may run concurrently with the other
+// methods, which must all be called from the same goroutine.
 type sessionResumption struct {
 	tokens            TokenService
 	flowKey, group    string
-	presentedToken    string              // by the client; empty if none
-	claimedPosition   resumetoken.Outcome // by the client: it can only ask for nothing older
+	presentedToken    string              // empty if the client presented none
+	claimedPosition   resumetoken.Outcome // by the client; only a minimum position
 	streamPosition    lineproto.StreamPosition
 	acceptedAt        time.Time
-	moveToken         string // of the MOVE, once minted; empty if none could be
+	moveToken         string // for the MOVE; empty if not minted yet or if minting failed
 	isMoveTokenMinted bool
 }
 
-// StartLine redeems the presented token, now that an upstream has accepted the client: one
-// that gets a busy answer keeps it unspent. The line is empty if the upstream's stream can't
-// be resumed.
-func (s *sessionResumption) StartLine(ctx context.Context, upLine string) string {
-	if !lineproto.IsResumable(upLine) {
+// StartLine redeems the presented token and returns the line that starts the stream. The token
+// is redeemed only after an upstream has accepted the client, so that it stays unspent if the
+// client is rejected as busy. The line is empty if the upstream does not support resumption.
+func (s *sessionResumption) StartLine(ctx context.Context, upstreamLine string) string {
+	if !lineproto.IsResumable(upstreamLine) {
 		return ""
 	}
 	outcome := s.claimedPosition
 	if s.presentedToken != "" {
 		presentation := resumetoken.Presentation{Token: s.presentedToken, FlowKey: s.flowKey, Group: s.group}
-		outcome = latest(s.claimedPosition, s.tokens.Redeem(ctx, presentation))
+		outcome = chooseOutcome(s.claimedPosition, s.tokens.Redeem(ctx, presentation))
 	}
 	return lineproto.FormatStreamStart(outcome, s.acceptedAt)
 }
 
-// latest chooses between what the client claims and what its token says. A spent token still
-// proves which position its client has seen; the client may claim to have seen more since.
-func latest(claimed, redeemed resumetoken.Outcome) resumetoken.Outcome {
+// chooseOutcome chooses between the position that the client claims and the outcome of
+// redeeming its token. A token that was not granted, such as a spent one, still proves which
+// position its client has received, but the client may have received later data since.
+func chooseOutcome(claimed, redeemed resumetoken.Outcome) resumetoken.Outcome {
 	if redeemed.CanResume {
 		return redeemed
 	}
@@ -84,11 +88,11 @@
 	return claimed
 }
 
-// Observe follows what the upstream sends.
-func (s *sessionResumption) Observe(text []byte) { s.streamPosition.Observe(text) }
+// Observe updates the stream position from a line of the upstream.
+func (s *sessionResumption) Observe(line []byte) { s.streamPosition.Observe(line) }
 
-// Token returns the token of the MOVE. It is minted once: a client that is asked twice to
-// move has one token.
+// Token returns the token for the MOVE. It is minted on the first call only, so that a client
+// that receives two MOVE lines holds a single token.
 func (s *sessionResumption) Token() string {
 	if !s.isMoveTokenMinted {
 		s.isMoveTokenMinted = true
