--- a/internal/resumetoken/candidate.go
+++ b/internal/resumetoken/candidate.go
@@ -7,18 +7,19 @@
 	"slices"
 )
 
-// Candidate is a node whose guard may arbitrate new tokens.
+// Candidate is a node whose guard can be chosen as the arbiter of new tokens.
 type Candidate struct {
 	Name      string
 	GuardID   GuardID
-	IsReady   bool // its guard has capacity and can write, and a peer's status is current
-	IsDurable bool // its guard's records survive a restart
+	IsReady   bool // the guard has capacity and can write, and the status of a peer is current
+	IsDurable bool // the records of the guard survive a restart
 }
 
-// ChooseArbiter chooses the arbiter of a new token with this nonce. It is the issuer itself,
-// which spares a request where the client returns there; an issuer that drains chooses a ready
-// peer, spread by the nonce. Without one it stays the issuer, if its guard is durable. It is
-// false if nobody can arbitrate: then no token is to be minted.
+// ChooseArbiter chooses the arbiter of a new token with the given nonce. A ready issuer that is
+// not draining is the arbiter itself, which saves a request to a peer if the client reconnects
+// to the issuer. Otherwise a ready peer is chosen by the nonce, so that tokens are spread over
+// the peers. If no peer is ready, a ready issuer with a durable guard is the arbiter even while
+// it drains. ChooseArbiter returns false if there is no arbiter; then no token must be minted.
 func ChooseArbiter(issuer Candidate, isDraining bool, peers []Candidate, nonce Nonce) (Candidate, bool) {
 	if !isDraining && issuer.IsReady {
 		return issuer, true
@@ -27,8 +28,8 @@
 	if len(ready) == 0 {
 		return issuer, issuer.IsReady && issuer.IsDurable
 	}
-	// Rendezvous hashing (Thaler and Ravishankar, 1998): a peer that comes or goes moves only
-	// its own share.
+	// Rendezvous hashing (Thaler and Ravishankar, 1998): when a peer is added or removed, only
+	// its own share of the nonces changes its arbiter.
 	return slices.MaxFunc(ready, func(a, b Candidate) int {
 		return cmp.Compare(rendezvousWeight(a, nonce), rendezvousWeight(b, nonce))
 	}), true
--- a/internal/resumetoken/encoding.go
+++ b/internal/resumetoken/encoding.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// Version is the layout of a token; others are not read.
+	// Version is the version of the token encoding. Tokens of other versions are rejected.
 	Version = 1
-	// MaxEncodedLength is the length of the longest encoded token, in bytes. A client's
-	// first line may have 4 KiB.
+	// MaxEncodedLength is the maximum length of an encoded token, in bytes. The client's first
+	// line, which contains the token, may have up to 4 KiB.
 	MaxEncodedLength = 256
-	// MaxNameLength is the length of the longest issuer's or arbiter's name, in bytes.
+	// MaxNameLength is the maximum length of the name of an issuer or arbiter, in bytes.
 	MaxNameLength = 40
-	// MaxLifetime bounds a token's lifetime, and with it what a guard has to remember.
+	// MaxLifetime is the maximum lifetime of a token. It limits how many records of spent
+	// tokens a guard has to keep.
 	MaxLifetime = 24 * time.Hour
 
 	macSize = 16 // bytes
-	// fixedFieldsSize is the size of the fields before the names, in bytes: version, key id,
-	// guard id, epoch, offset, issue time, lifetime, binding and nonce.
+	// fixedFieldsSize is the total size of the fields before the names, in bytes: version, key
+	// id, guard id, epoch, offset, issue time, lifetime, binding and nonce.
 	fixedFieldsSize = 1 + 4 + 8 + 8 + 8 + 8 + 4 + 16 + 16
-	// minSize is the size of a token with empty names, in bytes.
-	minSize = fixedFieldsSize + 2 + macSize
+	// minTokenSize is the size of a token with empty names, in bytes.
+	minTokenSize = fixedFieldsSize + 2 + macSize
 )
 
-// Claims are what a token is minted from.
+// Claims are the values that a token is minted from.
 type Claims struct {
 	Issuer, Arbiter string
 	GuardID         GuardID
 	Position        Position
 	FlowKey, Group  string
 	Lifetime        time.Duration // 1 ms to MaxLifetime
-	Nonce           Nonce         // drawn at random, never twice
+	Nonce           Nonce         // generated at random for each token
 }
 
-// validate checks what Mint's caller may get wrong.
+// validate checks the values that the caller of Mint can get wrong.
 func (c *Claims) validate() error {
 	if c.Lifetime < time.Millisecond || c.Lifetime > MaxLifetime {
-		return fmt.Errorf("mint: life %v is not between 1ms and %v", c.Lifetime, MaxLifetime)
+		return fmt.Errorf("mint: token lifetime %v is not between 1ms and %v", c.Lifetime, MaxLifetime)
 	}
 	if len(c.Issuer) > MaxNameLength || len(c.Arbiter) > MaxNameLength || c.Arbiter == "" {
-		return fmt.Errorf("mint: issuer %.50q or arbiter %.50q is not a name of up to %d bytes",
+		return fmt.Errorf("mint: issuer %.50q, arbiter %.50q: want up to %d bytes, arbiter not empty",
 			c.Issuer, c.Arbiter, MaxNameLength)
 	}
 	return nil
@@ -53,17 +54,17 @@
 
 var textEncoding = base64.RawURLEncoding.Strict()
 
-// Mint returns an encoded token that is issued now and authenticated by the ring's signing
-// key. It is an error if no key signs yet or a claim is out of bounds.
+// Mint returns an encoded token with the issue time now, authenticated by the signing key of the
+// ring. It is an error if no key signs yet or if a claim is out of bounds.
 func Mint(ring *KeyRing, now time.Time, claims Claims) (string, error) {
 	key, ok := ring.SigningKey(now)
 	if !ok {
-		return "", errors.New("mint: no key signs yet")
+		return "", errors.New("mint: the key ring has no signing key yet")
 	}
 	if err := claims.validate(); err != nil {
 		return "", err
 	}
-	encoded := make([]byte, 0, minSize+len(claims.Issuer)+len(claims.Arbiter))
+	encoded := make([]byte, 0, minTokenSize+len(claims.Issuer)+len(claims.Arbiter))
 	encoded = append(encoded, Version)
 	encoded = binary.BigEndian.AppendUint32(encoded, uint32(key.ID))
 	encoded = append(encoded, claims.GuardID[:]...)
@@ -80,11 +81,11 @@
 	return textEncoding.EncodeToString(encoded), nil
 }
 
-// Open decodes a token and checks its MAC, in constant memory whatever the text. It does not
-// check whose the token is or whether it has expired. The error is ErrMalformed,
+// Open decodes a token and checks its MAC. It uses constant memory for any input. It checks
+// neither the client that the token is bound to nor its expiry. The error is ErrMalformed,
 // ErrUnsupportedVersion, ErrUnknownKey or ErrBadMAC.
 func Open(ring *KeyRing, text string) (Token, error) {
-	// The decoder passes over line ends, which would make one token of many texts.
+	// The base64 decoder ignores line breaks, so several texts would decode to one token.
 	if len(text) > MaxEncodedLength || strings.ContainsAny(text, "\r\n") {
 		return Token{}, ErrMalformed
 	}
@@ -97,24 +98,24 @@
 	if decoded[0] != Version {
 		return Token{}, ErrUnsupportedVersion
 	}
-	if size < minSize {
+	if size < minTokenSize {
 		return Token{}, ErrMalformed
 	}
-	sealed, mac := decoded[:size-macSize], decoded[size-macSize:]
-	key, ok := ring.Get(KeyID(binary.BigEndian.Uint32(sealed[1:])))
+	payload, mac := decoded[:size-macSize], decoded[size-macSize:]
+	key, ok := ring.Get(KeyID(binary.BigEndian.Uint32(payload[1:])))
 	if !ok {
 		return Token{}, ErrUnknownKey
 	}
-	if !hmac.Equal(key.tokenMAC(sealed), mac) {
+	if !hmac.Equal(key.tokenMAC(payload), mac) {
 		return Token{}, ErrBadMAC
 	}
-	return decodeFields(key.ID, sealed)
+	return decodeFields(key.ID, payload)
 }
 
-// decodeFields reads the fields of a token whose MAC matches. They are as Mint wrote them;
-// the names' lengths are checked all the same.
-func decodeFields(id KeyID, sealed []byte) (Token, error) {
-	token, rest, ok := Token{KeyID: id}, sealed[5:], false
+// decodeFields decodes the fields of a token whose MAC matches. The fields are those that Mint
+// wrote, but the lengths of the names are checked nevertheless.
+func decodeFields(id KeyID, payload []byte) (Token, error) {
+	token, rest, ok := Token{KeyID: id}, payload[5:], false
 	rest = rest[copy(token.GuardID[:], rest):]
 	token.Position.Epoch = binary.BigEndian.Uint64(rest)
 	token.Position.Offset = binary.BigEndian.Uint64(rest[8:])
@@ -133,13 +134,13 @@
 	return token, nil
 }
 
-// appendName appends a name, its length in one byte before it.
+// appendName appends the length of a name, in one byte, and the name.
 func appendName(encoded []byte, name string) []byte {
 	return append(append(encoded, byte(len(name))), name...)
 }
 
-// readName reads what appendName wrote, and returns what follows it. It is false if the name
-// is cut short or too long.
+// readName reads a name that appendName wrote, and returns it and the bytes that follow. It
+// returns false if the name is truncated or too long.
 func readName(encoded []byte) (name string, rest []byte, ok bool) {
 	if len(encoded) == 0 || len(encoded)-1 < int(encoded[0]) || encoded[0] > MaxNameLength {
 		return "", nil, false
--- a/internal/resumetoken/fixture_test.go
+++ b/internal/resumetoken/fixture_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// now is when the tests' tokens are issued.
+// now is the time at which the tests issue tokens.
 var now = time.UnixMilli(1_800_000_000_123)
 
 func testKey(t testing.TB, id KeyID, signingStartsAt time.Time) *Key {
@@ -19,7 +19,8 @@
 	return key
 }
 
-// testRing returns a ring of the keys, or of a key 1 that signs.
+// testRing returns a ring of the given keys, or if there are none, of a key with the id 1 that
+// signs.
 func testRing(t testing.TB, keys ...*Key) *KeyRing {
 	t.Helper()
 	if len(keys) == 0 {
@@ -45,7 +46,8 @@
 	}
 }
 
-// mintTestToken does without t.Helper, which benchmarks would measure too.
+// mintTestToken mints a token of testClaims. It does not call t.Helper, whose cost would be
+// included in the benchmarks.
 func mintTestToken(t testing.TB, ring *KeyRing, issuedAt time.Time) string {
 	text, err := Mint(ring, issuedAt, testClaims())
 	if err != nil {
--- a/internal/resumetoken/key.go
+++ b/internal/resumetoken/key.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// SecretSize is the length of a key's secret, in bytes.
+// SecretSize is the size of the secret of a key, in bytes.
 const SecretSize = 32
 
-// The subkeys' labels in HKDF, which never change.
+// The HKDF labels of the subkeys. They must never change, or existing keys would derive other
+// subkeys.
 const (
 	subkeyLabelPrefix  = "coralrelay resume v1 "
 	tokenSubkeyLabel   = subkeyLabelPrefix + "token"
@@ -21,23 +22,24 @@
 	peerSubkeyLabel    = subkeyLabelPrefix + "peer"
 )
 
-// KeyID names a key among those of an installation.
+// KeyID identifies a key of an installation.
 type KeyID uint32
 
 // String returns the id as eight hexadecimal digits.
 func (id KeyID) String() string { return fmt.Sprintf("%08x", uint32(id)) }
 
-// Key authenticates tokens, binds them to clients, and authenticates guards to each other,
-// each under a subkey of its own (HKDF, RFC 5869).
+// Key authenticates tokens, binds them to clients, and authenticates the messages between
+// guards. Each purpose has its own subkey (HKDF, RFC 5869).
 type Key struct {
 	ID              KeyID
-	SigningStartsAt time.Time // it verifies at once, and signs from then on
+	SigningStartsAt time.Time // from then on it signs; it verifies at any time
 	tokenSubkey     []byte
 	bindingSubkey   []byte
 	peerSubkey      []byte
 }
 
-// NewKey derives a key from a secret of SecretSize bytes; another length is an error.
+// NewKey derives a key from a secret. It is an error if the secret does not have SecretSize
+// bytes.
 func NewKey(id KeyID, signingStartsAt time.Time, secret []byte) (*Key, error) {
 	if len(secret) != SecretSize {
 		return nil, fmt.Errorf("key %v: secret has %d bytes, want %d", id, len(secret), SecretSize)
@@ -57,7 +59,7 @@
 	return key, nil
 }
 
-// BindingFor returns the binding to a client with this flow key and group.
+// BindingFor returns the binding of a token to the client with this flow key and group.
 func (k *Key) BindingFor(flowKey, group string) (binding Binding) {
 	mac := hmac.New(sha256.New, k.bindingSubkey)
 	writeLengthPrefixed(mac, flowKey)
@@ -66,7 +68,7 @@
 	return binding
 }
 
-// PeerMAC authenticates a message between guards: HMAC-SHA-256 truncated to 128 bits.
+// PeerMAC returns the MAC of a message between guards: HMAC-SHA-256 truncated to 128 bits.
 func (k *Key) PeerMAC(parts ...string) []byte {
 	mac := hmac.New(sha256.New, k.peerSubkey)
 	for _, part := range parts {
@@ -75,16 +77,16 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-// tokenMAC authenticates a token's bytes: HMAC-SHA-256 truncated to 128 bits (RFC 2104,
-// section 5).
-func (k *Key) tokenMAC(sealed []byte) []byte {
+// tokenMAC returns the MAC of the encoded fields of a token: HMAC-SHA-256 truncated to 128 bits
+// (RFC 2104, section 5).
+func (k *Key) tokenMAC(payload []byte) []byte {
 	mac := hmac.New(sha256.New, k.tokenSubkey)
-	mac.Write(sealed)
+	mac.Write(payload)
 	return mac.Sum(nil)[:macSize]
 }
 
-// writeLengthPrefixed writes a text behind its length, so that no two lists of texts give the
-// same bytes.
+// writeLengthPrefixed writes the length of a text and then the text. The length ensures that
+// different lists of texts are never written as the same bytes.
 func writeLengthPrefixed(mac hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
--- a/internal/resumetoken/model_test.go
+++ b/internal/resumetoken/model_test.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// A model check of single use, over every order of steps: redemptions of one token at nodes
-// that may crash, one arbiter that may crash between any two steps and whose clock may jump,
-// and messages that may be lost, late or doubled.
+// This file checks with a model that a token is granted at most once, for every order of steps.
+// The model has several redemptions of one token at nodes that may crash, one arbiter that may
+// crash between any two steps and whose clock may jump, and messages that may be lost, delayed
+// or duplicated.
 
-const redemptions = 3
+// redemptionCount is the number of redemptions in the model.
+const redemptionCount = 3
 
-// progress is how far a redemption has come.
+// progress is the state of a redemption at its node.
 type progress uint8
 
 const (
@@ -22,25 +24,25 @@
 	crashed
 )
 
-// redemptionSet is a set of redemptions, a bit each.
+// redemptionSet is a set of redemptions, as a bit mask.
 type redemptionSet uint8
 
 func (s redemptionSet) has(redemption int) bool { return s&(1<<redemption) != 0 }
 func (s *redemptionSet) add(redemption int)     { *s |= 1 << redemption }
 
-// modelState is all there is to know. A message that was sent may arrive any number of times,
-// or never.
+// modelState is the complete state of the model. A message that has been sent may arrive any
+// number of times, or never.
 type modelState struct {
-	durable, pending  uint8         // redemption + 1 that the record names, on disk and in the open transaction
-	swept             bool          // the token's window is forgotten, durably
-	clockIsPastExpiry bool          // the arbiter's clock
-	unanswered        redemptionSet // grants that wait for the commit
+	durable, pending  uint8         // redemption + 1 in the record on disk and in the open transaction
+	swept             bool          // the window of the token has been swept, durably
+	clockIsPastExpiry bool          // the clock of the arbiter is past the expiry of the token
+	awaitingCommit    redemptionSet // grants whose response waits for the commit
 	requested         redemptionSet // requests sent
 	granted, denied   redemptionSet // responses sent
-	progress          [redemptions]progress
+	progress          [redemptionCount]progress
 }
 
-// fault is a guard taken out, to show that the check finds what it prevents.
+// fault is a safeguard that is disabled, to show that the model check detects its absence.
 type fault int
 
 const (
@@ -51,21 +53,21 @@
 	losesRecordsOnCrash
 )
 
-// explorer visits all states that can be reached.
+// explorer visits all reachable states.
 type explorer struct {
-	injected   fault
-	startedAt  time.Time
-	token      Token
-	visited    map[modelState]bool
-	unexplored []modelState
-	violated   bool // a token was granted twice, or a redemption had two outcomes
+	injectedFault fault
+	startedAt     time.Time
+	token         Token
+	visited       map[modelState]bool
+	unexplored    []modelState
+	violated      bool // a token was granted twice, or a redemption had two outcomes
 }
 
-func explore(injected fault) (states int, violated bool) {
+func explore(injectedFault fault) (states int, violated bool) {
 	startedAt := time.UnixMilli(1_000_000_000)
 	e := &explorer{
-		injected:  injected,
-		startedAt: startedAt,
+		injectedFault: injectedFault,
+		startedAt:     startedAt,
 		token: Token{
 			GuardID: GuardID{1}, Nonce: Nonce{1}, IssuedAt: startedAt, ExpiresAt: startedAt.Add(time.Minute),
 		},
@@ -80,7 +82,7 @@
 			e.violated = true
 			continue
 		}
-		for redemption := range redemptions {
+		for redemption := range redemptionCount {
 			e.stepNode(current, redemption)
 			e.stepRequest(current, redemption)
 		}
@@ -98,7 +100,8 @@
 	return count
 }
 
-// transition adds the state that change makes of the current one.
+// transition applies change to a copy of the current state and adds the resulting state if it
+// has not been visited.
 func (e *explorer) transition(current modelState, change func(next *modelState)) {
 	next := current
 	change(&next)
@@ -108,19 +111,20 @@
 	}
 }
 
-// arbiter is the arbiter in a state, and its clock.
+// arbiter returns the arbiter in a state and the time of its clock.
 func (e *explorer) arbiter(state modelState) (Arbiter, time.Time) {
 	arbiter, now := Arbiter{ID: GuardID{1}, MaxRecords: 10}, e.startedAt
 	if state.clockIsPastExpiry {
 		now = e.startedAt.Add(time.Hour)
 	}
-	if state.swept && e.injected != losesSweepMark {
+	if state.swept && e.injectedFault != losesSweepMark {
 		arbiter.SweptThrough = WindowOf(e.token.ExpiresAt)
 	}
 	return arbiter, now
 }
 
-// stepNode is what the node of a redemption may do or receive.
+// stepNode adds the states after each step that the node of a redemption may take: present the
+// token, crash, reach the deadline, or receive a response.
 func (e *explorer) stepNode(current modelState, redemption int) {
 	switch current.progress[redemption] {
 	case notPresented:
@@ -140,7 +144,7 @@
 	}
 }
 
-// receive completes a redemption. A second response must not count.
+// receive completes a redemption with a verdict, and checks that a second response has no effect.
 func (e *explorer) receive(current modelState, redemption int, verdict Verdict) {
 	r := &Redemption{Token: e.token}
 	outcome, isFirst := r.Complete(verdict)
@@ -155,7 +159,8 @@
 	})
 }
 
-// stepRequest is the arbiter receiving a request, if one was sent.
+// stepRequest adds the state after the arbiter receives the request of a redemption, if one has
+// been sent.
 func (e *explorer) stepRequest(current modelState, redemption int) {
 	if !current.requested.has(redemption) {
 		return
@@ -163,7 +168,7 @@
 	id := RedemptionID{byte(redemption + 1)}
 	arbiter, now := e.arbiter(current)
 	verdict, isNew := arbiter.Decide(now, &e.token, id, func(Window, Nonce) (RedemptionID, bool) {
-		if e.injected == grantsAnyRedemption && current.pending != 0 {
+		if e.injectedFault == grantsAnyRedemption && current.pending != 0 {
 			return id, true
 		}
 		return RedemptionID{current.pending}, current.pending != 0
@@ -172,10 +177,10 @@
 		switch {
 		case verdict != Granted:
 			next.denied.add(redemption)
-		case e.injected == repliesBeforeCommit:
+		case e.injectedFault == repliesBeforeCommit:
 			next.granted.add(redemption)
 		default:
-			next.unanswered.add(redemption)
+			next.awaitingCommit.add(redemption)
 		}
 		if isNew {
 			next.pending = uint8(redemption + 1)
@@ -183,16 +188,17 @@
 	})
 }
 
-// stepArbiter is what the arbiter may do by itself: commit, crash, jump in time, and sweep.
+// stepArbiter adds the states after each step that the arbiter may take without a request:
+// commit, crash, jump of its clock, and sweep.
 func (e *explorer) stepArbiter(current modelState) {
 	e.transition(current, func(next *modelState) {
 		next.durable = next.pending
-		next.granted |= next.unanswered
-		next.unanswered = 0
+		next.granted |= next.awaitingCommit
+		next.awaitingCommit = 0
 	})
 	e.transition(current, func(next *modelState) {
-		next.pending, next.unanswered = next.durable, 0
-		if e.injected == losesRecordsOnCrash {
+		next.pending, next.awaitingCommit = next.durable, 0
+		if e.injectedFault == losesRecordsOnCrash {
 			next.pending, next.durable = 0, 0
 		}
 	})
@@ -210,11 +216,13 @@
 	}
 	t.Logf("%d states", states)
 	if states < 1000 {
-		t.Errorf("only %d states were reached: the model is not what it was", states)
+		t.Errorf("only %d states were reached, want at least 1000: the model covers too little", states)
 	}
-	for _, injected := range []fault{repliesBeforeCommit, losesSweepMark, grantsAnyRedemption, losesRecordsOnCrash} {
+	for _, injected := range []fault{
+		repliesBeforeCommit, losesSweepMark, grantsAnyRedemption, losesRecordsOnCrash,
+	} {
 		if _, violated := explore(injected); !violated {
-			t.Errorf("fault %d was not found", injected)
+			t.Errorf("fault %d was not detected", injected)
 		}
 	}
 }
--- a/internal/resumetoken/redemption.go
+++ b/internal/resumetoken/redemption.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Presentation is a token as a client presents it, with what the token must be bound to.
+// Presentation is a token that a client presents, with the flow key and group of that client,
+// which the token must be bound to.
 type Presentation struct {
 	Token          string // encoded
-	FlowKey, Group string // of the client
+	FlowKey, Group string
 }
 
-// Outcome says how the client's stream starts.
+// Outcome is the result of a redemption. It specifies how the client's stream starts.
 type Outcome struct {
 	Verdict        Verdict
-	CanResume      bool     // the stream resumes at Position; else it starts with a snapshot
+	CanResume      bool     // the stream resumes at Position; otherwise it starts with a snapshot
 	HasMinPosition bool     // the snapshot must not be older than Position
-	Position       Position // the token's, where CanResume or HasMinPosition is set
-	Nonce          Nonce    // the token's, where CanResume is set
+	Position       Position // from the token; valid if CanResume or HasMinPosition is set
+	Nonce          Nonce    // from the token; valid if CanResume is set
 }
 
 // Redemption is the handling of one presentation at the node that received it. It has exactly
-// one Outcome; a grant that comes after that is not used, and the token is lost.
+// one Outcome. If a grant arrives after the redemption has been completed, it is not used and
+// the token remains spent.
 type Redemption struct {
 	Token       Token
 	isCompleted bool
 }
 
-// BeginRedemption checks a presentation. If that settles it, isSettled is true and the outcome
-// is final; else the token's arbiter has to be asked, and the redemption is not nil. The skew
-// is that by which nodes' clocks may differ.
+// BeginRedemption checks a presentation. If the presentation is rejected, isSettled is true and
+// the outcome is final. Otherwise the redemption is not nil, and the caller must request the
+// verdict of the token's arbiter. skew is the maximum difference between the clocks of nodes.
 func BeginRedemption(
 	ring *KeyRing, now time.Time, presentation Presentation, skew time.Duration,
 ) (redemption *Redemption, outcome Outcome, isSettled bool) {
@@ -44,8 +46,9 @@
 	return redemption, Outcome{}, false
 }
 
-// Complete returns the outcome for the arbiter's verdict, which is ArbiterUnreachable at the
-// deadline. Only the first call counts; it is false for later ones.
+// Complete returns the outcome for the verdict of the arbiter. The caller passes
+// ArbiterUnreachable if there is no verdict before the deadline. Only the first call completes
+// the redemption; later calls return false.
 func (r *Redemption) Complete(verdict Verdict) (Outcome, bool) {
 	if r.isCompleted {
 		return Outcome{}, false
@@ -58,6 +61,7 @@
 	if verdict == Granted {
 		return Outcome{Verdict: verdict, CanResume: true, Position: r.Token.Position, Nonce: r.Token.Nonce}
 	}
-	// Spent or not, the token proves what its client has received.
+	// Even if the token is not granted, it proves that its client has received the stream up to
+	// this position.
 	return Outcome{Verdict: verdict, HasMinPosition: true, Position: r.Token.Position}
 }
--- a/internal/resumetoken/token_test.go
+++ b/internal/resumetoken/token_test.go
@@ -21,21 +21,21 @@
 			t.Fatal(err)
 		}
 		if len(text) > MaxEncodedLength || strings.ContainsAny(text, ", =\r\n") {
-			t.Fatalf("%d bytes: %q", len(text), text)
+			t.Fatalf("token of %d bytes: %q", len(text), text)
 		}
 		got, err := Open(ring, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := got // what is not claimed is checked below
+		want := got // the fields that are not claims are checked below
 		want.Issuer, want.Arbiter = claims.Issuer, claims.Arbiter
 		want.Position, want.Nonce = claims.Position, claims.Nonce
 		isInTime := got.IssuedAt.Equal(now) && got.ExpiresAt.Equal(now.Add(claims.Lifetime))
 		if got != want || !isInTime || got.VerifyClient(ring, claims.FlowKey, claims.Group) != nil {
-			t.Fatalf("got %+v of %+v", got, claims)
+			t.Fatalf("opened %+v, minted from %+v", got, claims)
 		}
 		if other := claims.FlowKey + "x"; got.VerifyClient(ring, other, claims.Group) == nil {
-			t.Fatal("it is bound to another client too")
+			t.Fatal("the token was accepted for another client")
 		}
 	})
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-// No character of a token can be changed or left out.
+// A token is rejected if any of its characters is changed or if it is truncated.
 func TestRejectsModifiedTokens(t *testing.T) {
 	ring := testRing(t)
 	text := mintTestToken(t, ring, now)
@@ -73,11 +73,11 @@
 				continue
 			}
 			if _, err := Open(ring, text[:i]+string(character)+text[i+1:]); err == nil {
-				t.Fatalf("character %d may be %q", i, character)
+				t.Fatalf("a token with character %d changed to %q was accepted", i, character)
 			}
 		}
 		if _, err := Open(ring, text[:i]); err == nil {
-			t.Fatalf("cut to %d bytes it is read", i)
+			t.Fatalf("a token truncated to %d bytes was accepted", i)
 		}
 	}
 	for name, test := range map[string]struct {
@@ -85,7 +85,7 @@
 		want error
 	}{
 		"future version": {"Ag" + text[2:], ErrUnsupportedVersion},
-		"no such key":    {mintTestToken(t, testRing(t, testKey(t, 5, now)), now), ErrUnknownKey},
+		"unknown key":    {mintTestToken(t, testRing(t, testKey(t, 5, now)), now), ErrUnknownKey},
 		"endless":        {strings.Repeat("A", 5000), ErrMalformed},
 		"empty":          {"", ErrMalformed},
 	} {
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(testRing(t, other), text); !errors.Is(err, ErrBadMAC) {
-		t.Errorf("another secret under the same id: %v", err)
+		t.Errorf("token of a key with the same id and another secret: %v", err)
 	}
 }
 
@@ -111,7 +111,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		got, err := Open(ring, s)
 		if err == nil && s != text {
-			t.Errorf("%q was read as %+v, and nobody minted it", s, got)
+			t.Errorf("%q was opened as %+v but was never minted", s, got)
 		}
 	})
 }
--- a/internal/resumetoken/verdict.go
+++ b/internal/resumetoken/verdict.go
@@ -5,21 +5,21 @@
 // Verdict is the decision on a token that a client presents.
 type Verdict uint8
 
-// The verdicts. Only with Granted does a client resume where it was.
+// The verdicts. A client resumes its stream only after Granted.
 const (
 	Granted            Verdict = iota + 1
-	Spent                      // another redemption was granted it
-	Expired                    // by the arbiter's clock, or its record has been dropped
-	NotYetValid                // issued by a clock too far ahead
-	WrongGuard                 // it names another guard, or this one has lost its records
-	GuardFull                  // the guard remembers as many tokens as it may
-	GuardUnavailable           // the guard could not record it: disk full, read-only or damaged
-	Invalid                    // malformed, of another version, unknown key, or a wrong MAC
-	WrongClient                // it is bound to another client
-	ArbiterUnreachable         // the arbiter gave no verdict in time
+	Spent                      // the token was granted to another redemption
+	Expired                    // by the clock of the arbiter, or its record may have been removed
+	NotYetValid                // the clock of the issuer is too far ahead
+	WrongGuard                 // the token names another guard, or the guard has lost its records
+	GuardFull                  // the guard has reached its maximum number of records
+	GuardUnavailable           // the guard could not write the record: disk full, read-only or damaged
+	Invalid                    // malformed, unsupported version, unknown key or wrong MAC
+	WrongClient                // the token is bound to another client
+	ArbiterUnreachable         // there was no verdict of the arbiter before the deadline
 )
 
-// verdictNames are the verdicts' names between nodes, which never change.
+// verdictNames are the names of the verdicts in messages between nodes. They must never change.
 var verdictNames = map[Verdict]string{
 	Granted:            "granted",
 	Spent:              "spent",
@@ -33,10 +33,10 @@
 	ArbiterUnreachable: "unreachable",
 }
 
-// String returns the verdict's name; "" if there is no such verdict.
+// String returns the name of the verdict, or "" if v is not a valid verdict.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// ParseVerdict reads what String writes. It is false if there is no verdict of that name.
+// ParseVerdict returns the verdict with the given name, and false if there is none.
 func ParseVerdict(name string) (Verdict, bool) {
 	for verdict, verdictName := range verdictNames {
 		if verdictName == name {
@@ -46,8 +46,7 @@
 	return 0, false
 }
 
-// verdictForError is the verdict that follows from an error of Open, VerifyClient or
-// VerifyTime.
+// verdictForError returns the verdict for an error of Open, VerifyClient or VerifyTime.
 func verdictForError(err error) Verdict {
 	switch {
 	case err == nil:
