--- a/internal/replayguard/authentication_test.go
+++ b/internal/replayguard/authentication_test.go
@@ -11,7 +11,8 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// Who has no key gets no verdict, and what is sent to a guard does it no harm.
+// A server sends no verdict without a valid MAC of the request, and a token can still be redeemed
+// after malformed requests.
 func TestRejectsRequestsWithoutKey(t *testing.T) {
 	config := testConfig(newTestKeyRing(t, "a"))
 	config.ArbiterTimeout = time.Second
@@ -38,22 +39,25 @@
 			response, err := bufio.NewReader(conn).ReadString('\n')
 			isRefusal := response == "NO\r\n"
 			if strings.HasPrefix(response, verdictMessage) || err == nil && !isRefusal {
-				t.Errorf("answered %q", response)
+				t.Errorf("the server responded %q", response)
 			}
 		})
 	}
 	if outcome := cluster.redeem(1, token); !outcome.CanResume {
-		t.Errorf("the client's own redemption: %+v", outcome)
+		t.Errorf("redemption by the client of the token: %+v", outcome)
 	}
 }
 
-// A peer whose responses' MACs don't match, or which has another name, is no arbiter.
+// A peer is not ready if the MAC of its status does not match or the status contains another name.
 func TestIgnoresUnauthenticatedPeer(t *testing.T) {
 	status := func(key *resumetoken.Key, context, sequence, name string) string {
-		return authenticatedLine(key, context, statusMessage, sequence, name, "0102030405060708", "ready", "stays")
+		return authenticatedLine(key, context,
+			statusMessage, sequence, name, "0102030405060708", "ready", "stays")
 	}
 	for name, respond := range map[string]func(key *resumetoken.Key, challenge, sequence string) string{
-		"no key": func(*resumetoken.Key, string, string) string { return "LEDGER 1 n1 00 ready stays 00\r\n" },
+		"no key": func(*resumetoken.Key, string, string) string {
+			return "LEDGER 1 n1 00 ready stays 00\r\n"
+		},
 		"old response": func(key *resumetoken.Key, _, sequence string) string {
 			return status(key, "answer old", sequence, "n1")
 		},
@@ -67,23 +71,27 @@
 			addr, connected := startFakePeer(t, func(request []string) string {
 				return respond(key, request[1], request[2])
 			})
-			peer := &Peer{Name: "n1", Addr: addr, ring: func() *resumetoken.KeyRing { return keyRing }}
+			peer := &Peer{
+				Name: "n1", Addr: addr, currentKeyRing: func() *resumetoken.KeyRing { return keyRing },
+			}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { peer.Run(ctx); close(done) }()
 			defer func() { cancel(); <-done }()
 			<-connected
-			<-connected // the first connection was given up
+			<-connected // the first connection has been closed
 			if peer.Candidate(time.Now()).IsReady {
-				t.Error("the status was believed")
+				t.Error("the peer is ready after an invalid status")
 			}
 		})
 	}
 }
 
-// startFakePeer listens until the test's end. It answers one HELLO on each connection, and
-// reports each connection.
-func startFakePeer(t *testing.T, respond func(request []string) string) (addr string, connected <-chan struct{}) {
+// startFakePeer listens until the end of the test. It answers one HELLO on each connection. The
+// channel connected receives a value for each accepted connection.
+func startFakePeer(
+	t *testing.T, respond func(request []string) string,
+) (addr string, connected <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/replayguard/benchmark_test.go
+++ b/internal/replayguard/benchmark_test.go
@@ -15,7 +15,7 @@
 
 var errNotGranted = errors.New("not granted")
 
-// BenchmarkSpend spends tokens at one guard from many goroutines at once.
+// BenchmarkSpend spends tokens at one guard from many goroutines concurrently.
 func BenchmarkSpend(b *testing.B) {
 	for name, options := range map[string]Options{
 		"group":  {},
@@ -43,7 +43,8 @@
 	}
 }
 
-// BenchmarkSpendMillion reports what a million spent tokens take on disk and in memory.
+// BenchmarkSpendMillion reports the file size and heap size per record after a million tokens have
+// been spent.
 func BenchmarkSpendMillion(b *testing.B) {
 	const records = 1_000_000
 	keyRing := newTestKeyRing(b, "a")
@@ -77,8 +78,8 @@
 	}
 }
 
-// BenchmarkRedeemDuringForgedRequests redeems tokens while forged ones are presented, ten
-// thousand a second.
+// BenchmarkRedeemDuringForgedRequests redeems tokens while forged ones are presented at a rate of
+// 10,000 per second.
 func BenchmarkRedeemDuringForgedRequests(b *testing.B) {
 	config := testConfig(newTestKeyRing(b, "a"))
 	config.TokenLifetime, config.ArbiterTimeout = time.Hour, time.Second
@@ -92,7 +93,8 @@
 			wg.Go(func() {
 				for tick := time.NewTicker(time.Millisecond); forgedPerMillisecond > 0; <-tick.C {
 					for range forgedPerMillisecond {
-						if ctx.Err() != nil || cluster.services[1].Redeem(ctx, presentationOf(forged)).CanResume {
+						if ctx.Err() != nil ||
+							cluster.services[1].Redeem(ctx, presentationOf(forged)).CanResume {
 							return
 						}
 					}
--- a/internal/replayguard/cluster_test.go
+++ b/internal/replayguard/cluster_test.go
@@ -12,7 +12,7 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// testCluster is some nodes n0, n1 and so on, whose guards are each other's peers.
+// testCluster is a cluster of nodes n0, n1 and so on, each of which has all others as peers.
 type testCluster struct {
 	services []*Service
 	guards   []*Guard
@@ -20,7 +20,7 @@
 	addrs    []string
 }
 
-// testConfig is a configuration whose arbiters answer in time.
+// testConfig returns a configuration with enough time for the arbiters to respond.
 func testConfig(keyRing *resumetoken.KeyRing) ServiceConfig {
 	return ServiceConfig{
 		KeyRing:        keyRing,
@@ -71,7 +71,7 @@
 	c.stops = append(c.stops, stop)
 }
 
-// waitUntilReady waits until every node has the status of so many ready peers.
+// waitUntilReady waits until every node has at least the given number of ready peers.
 func (c *testCluster) waitUntilReady(t testing.TB, peers int) {
 	t.Helper()
 	for startedAt := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -83,7 +83,7 @@
 			return
 		}
 		if time.Since(startedAt) > 10*time.Second {
-			t.Fatal("peers are not ready")
+			t.Fatal("peers were not ready within 10 s")
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	return count
 }
 
-// mint returns a token of one node for the client that redeem presents it as.
+// mint mints a token at a node for the client that redeem uses.
 func (c *testCluster) mint(node int, offset uint64) string {
 	return c.services[node].Mint("k", "g", resumetoken.Position{Epoch: 1, Offset: offset})
 }
@@ -110,10 +110,11 @@
 	return resumetoken.Presentation{Token: token, FlowKey: "k", Group: "g"}
 }
 
-// A token that is presented everywhere at once is granted once, whoever arbitrates.
+// A token that is presented concurrently at all nodes is granted exactly once, whichever node is
+// its arbiter.
 func TestGrantsOnceAcrossNodes(t *testing.T) {
 	cluster := startTestCluster(t, 3, testConfig(newTestKeyRing(t, "a", "b")))
-	cluster.services[1].BeginDraining() // it names peers as arbiters from now on
+	cluster.services[1].BeginDraining() // from now on it chooses peers as arbiters
 	for round := range 30 {
 		offset := uint64(round)
 		token := cluster.mint(round%2, offset)
@@ -133,12 +134,14 @@
 		}
 		wg.Wait()
 		if resumed.Load() != 1 || spent.Load() != 8 {
-			t.Fatalf("round %d: granted %d times, %d times spent", round, resumed.Load(), spent.Load())
+			t.Fatalf("round %d: %d redemptions granted, %d rejected as spent",
+				round, resumed.Load(), spent.Load())
 		}
 	}
 }
 
-// With its arbiter away a token is not granted, in bounded time; it stays unspent.
+// If the arbiter of a token is unreachable, the redemption ends in bounded time without a grant, and
+// the token stays unspent.
 func TestUnreachableArbiterEndsInBoundedTime(t *testing.T) {
 	config := testConfig(newTestKeyRing(t, "a"))
 	config.ArbiterTimeout = 150 * time.Millisecond
@@ -152,20 +155,20 @@
 		t.Errorf("%+v", outcome)
 	}
 	if took := time.Since(startedAt); took > 5*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("the redemption took %v", took)
 	}
-	// The other node drains too: nobody but itself is left, and its guard is durable.
+	// A draining node without ready peers is the arbiter of its tokens if its guard is durable.
 	cluster.services[1].BeginDraining()
 	if cluster.mint(1, 0) == "" {
-		t.Error("no token, though its own guard survives a restart")
+		t.Error("a draining node with a durable guard minted no token")
 	}
 	if outcome := cluster.redeem(0, token); !outcome.CanResume {
-		t.Errorf("at its arbiter: %+v", outcome)
+		t.Errorf("redemption at the arbiter: %+v", outcome)
 	}
 	config.ClockSkew, config.ArbiterTimeout = 0, 20*time.Millisecond
-	unrelated := NewService("n9", cluster.guards[0], config, nil)
-	outcome = unrelated.Redeem(context.Background(), presentationOf(token))
+	withoutPeers := NewService("n9", cluster.guards[0], config, nil)
+	outcome = withoutPeers.Redeem(context.Background(), presentationOf(token))
 	if outcome.Verdict != resumetoken.ArbiterUnreachable {
-		t.Errorf("an arbiter that is no peer: %+v", outcome)
+		t.Errorf("redemption of a token whose arbiter is not a peer: %+v", outcome)
 	}
 }
--- a/internal/replayguard/doc.go
+++ b/internal/replayguard/doc.go
@@ -1,22 +1,24 @@
-// Package replayguard keeps resume tokens from being used twice: anti-replay by single use,
-// as TLS 1.3 has it for 0-RTT tickets (RFC 8446, section 8.1).
+// Package replayguard prevents resume tokens from being used twice. Its anti-replay mechanism is
+// single use, as in TLS 1.3 for 0-RTT tickets (RFC 8446, section 8.1).
 //
 // A Guard records which tokens are spent. Each token names the one guard that arbitrates it. A
-// Service mints and redeems tokens for its node; it asks its own guard, or through a Peer the
-// guard of another node, which answers there through a Server. What is granted is decided by
-// package resumetoken; a guard makes the record durable before anybody hears of the grant.
+// Service mints and redeems tokens for its node. It requests verdicts from the guard of its
+// node or, through a Peer, from the guard of another node, which answers through a Server.
+// Package resumetoken decides which tokens are granted. A guard makes the record of a grant
+// durable before it sends the verdict.
 //
-// Goroutines: Guard.Run, Server.Serve, Service.Run and Peer.Run work in their callers'
-// goroutines and those that they start, all of which end before they return, after their
-// context ends. A Peer has two more for each connection, a Server one for each connection and
-// one for its writes. Nothing else is started.
+// Goroutines: Guard.Run, Server.Serve, Service.Run and Peer.Run work in the goroutine of the
+// caller and in goroutines that they start. After their context has ended, they return once
+// these goroutines have ended. A Peer starts two goroutines per connection; a Server starts one
+// per connection and another one for its writes. The package starts no other goroutines.
 //
-// Errors: Open wraps those of package store, of which store.ErrLocked means that another
-// process uses the directory. Later failures are logged, and show as the verdicts
+// Errors: Open wraps the errors of package store, of which store.ErrLocked means that another
+// process uses the directory. Later failures are logged and result in the verdicts
 // GuardUnavailable, GuardFull and ArbiterUnreachable.
 //
-// On the wire, in the file and in its name a guard is called ledger; these stay as they are.
+// In messages, in the file and in the file's name a guard is called ledger. These names can't
+// change, for compatibility.
 package replayguard
 
-// component is this package in log lines.
+// component is the name of this package in log lines.
 const component = "replayguard"
--- a/internal/replayguard/durable.go
+++ b/internal/replayguard/durable.go
@@ -13,36 +13,43 @@
 )
 
 const (
-	// defaultMaxBatch is how many writes are made durable at once, at most.
+	// defaultMaxBatch is the default maximum number of writes in a batch.
 	defaultMaxBatch = 512
-	// maxQueuedWrites is how many writes may wait; beyond it a token's verdict is GuardFull.
+	// maxQueuedWrites is the maximum number of queued writes. When the queue is full, the
+	// verdict on a token is GuardFull.
 	maxQueuedWrites = 2048
-	// lockTimeout is how long a node that was killed may take to release its file. Its next
-	// start would fail otherwise, as one of two nodes with the same directory.
+	// lockTimeout is how long opening the file waits for its lock. A killed node may take a
+	// moment to release the lock; without the wait its restart would fail as if another node
+	// used the same directory.
 	lockTimeout = time.Second
 
-	// The greatest size of the file, in bytes. A record takes about 100 bytes with bbolt's
-	// overhead for random keys. The rest is for free pages that are yet to be used again, and
-	// because bbolt counts the mapped size, which doubles.
+	// The maximum file size, in bytes, is baseFileBytes plus bytesPerRecord for each record. A
+	// record takes about 100 bytes, including bbolt's overhead for random keys. The rest is
+	// reserved for free pages that have not been reused yet, and is needed because bbolt counts
+	// the mapped size, which grows by doubling.
 	baseFileBytes  = 64 << 20
 	bytesPerRecord = 400
 )
 
-// durableBackend keeps records in a store. The arbiter belongs to the goroutine of the store's
-// writer, in which Apply and Done of the writes run.
+// durableBackend keeps records in a store. After the backend has been opened, only the goroutine
+// of the store's writer may access the arbiter. Apply and Done of the writes run in it, except Done
+// with store.ErrQueueFull.
 type durableBackend struct {
 	guard           *Guard
 	store           *store.Store
 	writer          *store.Writer
 	arbiter         resumetoken.Arbiter
-	failures        logging.Throttled
-	volatileRecords map[resumetoken.Nonce]resumetoken.RedemptionID // mutation: records that are not written
+	writeFailureLog logging.Throttled
+	// volatileRecords is used only by the mutation ledger-volatile.
+	volatileRecords map[resumetoken.Nonce]resumetoken.RedemptionID
 }
 
-// openDurableBackend opens the file in the options' directory and reads its state. The
-// arbiter gets the file's identity.
-func openDurableBackend(guard *Guard, arbiter resumetoken.Arbiter, options Options) (*durableBackend, error) {
-	opened, err := store.Open(filepath.Join(options.Dir, FileName), Schema, store.Options{
+// openDurableBackend opens the file in the directory options.Dir and loads its state. The arbiter
+// gets the id of the file.
+func openDurableBackend(
+	guard *Guard, arbiter resumetoken.Arbiter, options Options,
+) (*durableBackend, error) {
+	guardStore, err := store.Open(filepath.Join(options.Dir, FileName), Schema, store.Options{
 		MaxBytes:    baseFileBytes + bytesPerRecord*options.MaxRecords,
 		NoSync:      options.NoSync,
 		LockTimeout: lockTimeout,
@@ -50,32 +57,32 @@
 	if err != nil {
 		return nil, err
 	}
-	if opened.QuarantinePath != "" {
+	if guardStore.QuarantinePath != "" {
 		slog.Warn("replay guard file quarantined, tokens that name it are rejected", "component", component,
-			"quarantine_path", opened.QuarantinePath, "error", opened.QuarantineReason)
+			"quarantine_path", guardStore.QuarantinePath, "error", guardStore.QuarantineReason)
 	}
 	maxBatch := options.MaxBatch
 	if maxBatch == 0 {
 		maxBatch = defaultMaxBatch
 	}
-	arbiter.ID = resumetoken.GuardID(opened.ID)
+	arbiter.ID = resumetoken.GuardID(guardStore.ID)
 	backend := &durableBackend{
 		guard:   guard,
-		store:   opened,
-		writer:  store.NewWriter(opened, maxBatch, maxQueuedWrites),
+		store:   guardStore,
+		writer:  store.NewWriter(guardStore, maxBatch, maxQueuedWrites),
 		arbiter: arbiter,
 	}
 	if err := backend.loadState(); err != nil {
-		return nil, errors.Join(err, opened.Close())
+		return nil, errors.Join(err, guardStore.Close())
 	}
 	return backend, nil
 }
 
-// loadState reads the last swept window and counts the records.
+// loadState loads the last swept window and counts the records.
 func (d *durableBackend) loadState() error {
 	return d.store.View(func(tx *store.Tx) error {
 		if swept := tx.Bucket(stateBucket).Get(sweptThroughKey); len(swept) == windowKeySize {
-			d.arbiter.SweptThrough = windowOf(swept)
+			d.arbiter.SweptThrough = windowFromKey(swept)
 		}
 		err := ForEachWindow(tx, func(_ resumetoken.Window, spent int) { d.arbiter.RecordCount += spent })
 		d.publishRecordCount()
@@ -96,13 +103,15 @@
 	d.writer.Submit(&sweepWrite{backend: d})
 }
 
-// publishRecordCount lets other goroutines see the arbiter's count.
+// publishRecordCount copies the arbiter's record count to the guard, where other goroutines read
+// it.
 func (d *durableBackend) publishRecordCount() {
 	d.guard.recordCount.Store(int64(d.arbiter.RecordCount))
 }
 
-// recordFailure notes that a write failed.
-func (d *durableBackend) recordFailure(err error) {
-	d.guard.writeFailed.Store(true)
-	d.failures.Warn("replay guard write failed, tokens are rejected", "component", component, "error", err)
+// recordWriteFailure makes the guard not ready and logs the error.
+func (d *durableBackend) recordWriteFailure(err error) {
+	d.guard.lastWriteFailed.Store(true)
+	d.writeFailureLog.Warn("replay guard write failed, tokens are rejected",
+		"component", component, "error", err)
 }
--- a/internal/replayguard/durable_writes.go
+++ b/internal/replayguard/durable_writes.go
@@ -9,17 +9,17 @@
 	"coralrelay/internal/store"
 )
 
-// spendWrite decides on one token and records a new grant.
+// spendWrite is a store.Write that decides on one token and records a new grant.
 type spendWrite struct {
 	backend      *durableBackend
 	token        *resumetoken.Token
 	redemptionID resumetoken.RedemptionID
 	reply        func(resumetoken.Verdict)
 	verdict      resumetoken.Verdict
-	isNew        bool // a grant that was not recorded before
+	isNew        bool // the verdict is a grant that has no record yet
 }
 
-// Apply decides and, for a new grant, writes the record.
+// Apply decides on the token and writes the record of a new grant.
 func (w *spendWrite) Apply(tx *store.Tx) error {
 	arbiter, spent := &w.backend.arbiter, tx.Bucket(spentBucket)
 	lookup := func(window resumetoken.Window, nonce resumetoken.Nonce) (resumetoken.RedemptionID, bool) {
@@ -41,28 +41,29 @@
 	return records.Put(w.token.Nonce[:], w.redemptionID[:])
 }
 
-// Done replies with the verdict, which a failed write turns into GuardUnavailable.
+// Done replies with the verdict. If the write failed, the verdict is GuardUnavailable; if it was
+// not queued, the verdict is GuardFull.
 func (w *spendWrite) Done(err error) {
 	backend := w.backend
 	if errors.Is(err, store.ErrQueueFull) {
-		// This is Submit's goroutine: the arbiter must not be touched.
+		// Done was called in the goroutine of Submit, which must not access the arbiter.
 		w.reply(resumetoken.GuardFull)
 		return
 	}
 	if err != nil {
-		backend.recordFailure(err)
+		backend.recordWriteFailure(err)
 		if w.isNew {
 			backend.arbiter.RecordCount--
 		}
 		w.verdict = resumetoken.GuardUnavailable
 	} else if w.isNew {
-		backend.guard.writeFailed.Store(false)
+		backend.guard.lastWriteFailed.Store(false)
 	}
 	backend.publishRecordCount()
 	w.reply(w.verdict)
 }
 
-// lookup returns the redemption that was granted a token.
+// lookup returns the redemption that a token was granted to, and false if the token is unspent.
 func (d *durableBackend) lookup(
 	spent *store.Bucket, window resumetoken.Window, nonce resumetoken.Nonce,
 ) (id resumetoken.RedemptionID, ok bool) {
@@ -80,8 +81,8 @@
 	return resumetoken.RedemptionID(stored), true
 }
 
-// keepInMemory records a grant without writing it, for the mutation that forgets what was
-// granted when the process ends.
+// keepInMemory records a grant in memory only. It is used by the mutation ledger-volatile, which
+// loses the records when the process ends.
 func (d *durableBackend) keepInMemory(nonce resumetoken.Nonce, id resumetoken.RedemptionID) {
 	if d.volatileRecords == nil {
 		d.volatileRecords = map[resumetoken.Nonce]resumetoken.RedemptionID{}
@@ -89,13 +90,13 @@
 	d.volatileRecords[nonce] = id
 }
 
-// sweepWrite forgets whole windows.
+// sweepWrite is a store.Write that removes the records of expired windows.
 type sweepWrite struct {
 	backend *durableBackend
-	removed int // records
+	removed int // number of records
 }
 
-// Apply deletes the windows whose tokens have all expired, and notes the last of them.
+// Apply deletes the windows whose tokens have all expired, and stores the last of them.
 func (w *sweepWrite) Apply(tx *store.Tx) error {
 	w.removed = 0
 	through, ok := w.backend.arbiter.SweepableThrough(w.backend.guard.now())
@@ -106,7 +107,8 @@
 	if err != nil {
 		return err
 	}
-	// The mark is stored with the deletion: a clock that is set back later finds it.
+	// The last swept window is stored in the transaction of the deletion, so that the swept
+	// tokens stay expired if the clock is set back later.
 	if err := tx.Bucket(stateBucket).Put(sweptThroughKey, windowKey(through)); err != nil {
 		return err
 	}
@@ -115,11 +117,12 @@
 	return nil
 }
 
-// deleteWindows deletes all windows up to through and returns how many records they had.
+// deleteWindows deletes all windows up to and including through, and returns the number of
+// records in them.
 func deleteWindows(spent *store.Bucket, through resumetoken.Window) (removed int, err error) {
 	var expired [][]byte
 	_ = spent.ForEachBucket(func(key []byte) error {
-		if windowOf(key) <= through {
+		if windowFromKey(key) <= through {
 			expired = append(expired, bytes.Clone(key))
 		}
 		return nil
@@ -134,19 +137,20 @@
 	return removed, nil
 }
 
-// Done adjusts the record count; a sweep that was not queued is repeated at the next tick.
+// Done updates the record count. A sweep that was not queued is repeated at the next tick of
+// Guard.Run.
 func (w *sweepWrite) Done(err error) {
 	backend := w.backend
 	if errors.Is(err, store.ErrQueueFull) {
 		return
 	}
 	if err != nil {
-		backend.recordFailure(err)
+		backend.recordWriteFailure(err)
 		return
 	}
 	backend.arbiter.RecordCount -= w.removed
 	backend.publishRecordCount()
 	if backend.arbiter.RecordCount < backend.arbiter.MaxRecords {
-		backend.guard.writeFailed.Store(false)
+		backend.guard.lastWriteFailed.Store(false)
 	}
 }
--- a/internal/replayguard/fixture_test.go
+++ b/internal/replayguard/fixture_test.go
@@ -10,8 +10,8 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// newTestKeyRing returns a ring of keys 1, 2 and so on, each with a secret of one letter; the
-// last one signs.
+// newTestKeyRing returns a ring of keys with the ids 1, 2 and so on. The secret of each key is one
+// of the given letters, repeated. The last key signs.
 func newTestKeyRing(t testing.TB, secrets ...string) *resumetoken.KeyRing {
 	t.Helper()
 	var keys []*resumetoken.Key
@@ -30,7 +30,7 @@
 	return keyRing
 }
 
-// startGuard opens and runs a guard until the test's end or the call of stop.
+// startGuard opens a guard and runs it until stop is called or the test ends.
 func startGuard(t testing.TB, options Options) (guard *Guard, stop context.CancelFunc) {
 	t.Helper()
 	if options.MaxRecords == 0 {
@@ -48,7 +48,7 @@
 	return guard, stop
 }
 
-// testClock is a clock that is moved by hand.
+// testClock is a clock that only moves when advance is called.
 type testClock struct{ nanoseconds atomic.Int64 }
 
 func newTestClock() *testClock {
@@ -62,8 +62,8 @@
 
 var tokensMinted atomic.Uint64
 
-// mintTestToken returns a token that the guard arbitrates, encoded and decoded. It does without
-// t.Helper, which benchmarks would measure too.
+// mintTestToken returns a token that the guard arbitrates, encoded and decoded. It does not call
+// t.Helper, whose cost would be included in the benchmarks.
 func mintTestToken(
 	t testing.TB, keyRing *resumetoken.KeyRing, guard *Guard, issuedAt time.Time, lifetime time.Duration,
 ) (string, *resumetoken.Token) {
@@ -92,7 +92,7 @@
 	return &token
 }
 
-// spend returns the verdict for the redemption whose id begins with this byte.
+// spend spends a token for the redemption whose id begins with firstByte, and returns the verdict.
 func spend(guard *Guard, token *resumetoken.Token, firstByte byte) resumetoken.Verdict {
 	return spendWithID(guard, token, resumetoken.RedemptionID{firstByte})
 }
--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -12,43 +12,43 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// sweepInterval is how often expired windows are looked for.
+// sweepInterval is the interval between sweeps of expired windows.
 const sweepInterval = resumetoken.WindowLength / 2
 
-// Options bound a guard.
+// Options configure a guard.
 type Options struct {
-	Dir        string           // directory of its file; empty to keep records in memory, which a restart empties
-	MaxRecords int              // most tokens that are remembered
-	ClockSkew  time.Duration    // by which an issuer's clock may be ahead
-	MaxBatch   int              // most tokens that are made durable at once; 0 for the default
-	NoSync     bool             // spare the disk's sync: safe over a crash of the node, not of the machine
+	Dir        string           // directory of the file; empty to keep records in memory until a restart
+	MaxRecords int              // maximum number of records of spent tokens
+	ClockSkew  time.Duration    // by which the clock of an issuer may be ahead
+	MaxBatch   int              // maximum number of writes in a batch; 0 for the default
+	NoSync     bool             // no file sync: records survive a crash of the node, not of the machine
 	Now        func() time.Time // the clock; nil for time.Now
 }
 
 // Guard records which of the tokens that it arbitrates are spent. Its methods may be called
-// from several goroutines.
+// concurrently.
 type Guard struct {
-	ID          resumetoken.GuardID
-	IsDurable   bool // its records survive a restart
-	backend     backend
-	recordCount atomic.Int64
-	maxRecords  int64
-	writeFailed atomic.Bool // the last write failed
-	now         func() time.Time
+	ID              resumetoken.GuardID
+	IsDurable       bool // the records survive a restart
+	backend         backend
+	recordCount     atomic.Int64
+	maxRecords      int64
+	lastWriteFailed atomic.Bool
+	now             func() time.Time
 }
 
-// backend holds a guard's records.
+// backend keeps the records of a guard.
 type backend interface {
-	// spend decides on a token and records a new grant. It calls reply once.
+	// spend decides on a token and records a new grant. It calls reply exactly once.
 	spend(token *resumetoken.Token, id resumetoken.RedemptionID, reply func(resumetoken.Verdict))
-	// sweep forgets windows whose tokens have all expired.
+	// sweep removes the records of windows whose tokens have all expired.
 	sweep()
-	// run works until ctx ends.
+	// run runs the backend until ctx ends.
 	run(ctx context.Context)
 	close() error
 }
 
-// Open opens the guard that the options name. It answers while Run runs. The error wraps
+// Open opens a guard. The guard decides on tokens only while Run runs. The error wraps
 // store.ErrLocked if another process has the guard's file open.
 func Open(options Options) (*Guard, error) {
 	if options.Now == nil {
@@ -69,15 +69,15 @@
 	return guard, nil
 }
 
-// NewUnavailable returns the guard of a node whose own could not be opened: it grants nothing,
-// and its node names peers as arbiters.
+// NewUnavailable returns a guard that grants nothing, for a node whose guard could not be opened.
+// As it is never ready, the node chooses peers as the arbiters of its tokens.
 func NewUnavailable() *Guard {
 	guard := &Guard{now: time.Now, backend: unavailableBackend{}}
 	_, _ = rand.Read(guard.ID[:])
 	return guard
 }
 
-// Run works until ctx ends, and then closes the guard.
+// Run runs the guard until ctx ends, and then closes it.
 func (g *Guard) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { g.backend.run(ctx) })
@@ -97,28 +97,32 @@
 }
 
 // Spend decides whether a token is granted to a redemption, and records a new grant. It calls
-// reply once, possibly from another goroutine; reply must not block.
-func (g *Guard) Spend(token *resumetoken.Token, id resumetoken.RedemptionID, reply func(resumetoken.Verdict)) {
+// reply exactly once, possibly from another goroutine. reply must not block.
+func (g *Guard) Spend(
+	token *resumetoken.Token, id resumetoken.RedemptionID, reply func(resumetoken.Verdict),
+) {
 	g.backend.spend(token, id, reply)
 }
 
-// RecordCount returns how many spent tokens are remembered.
+// RecordCount returns the number of records of spent tokens.
 func (g *Guard) RecordCount() int { return int(g.recordCount.Load()) }
 
-// IsReady reports whether the guard has capacity and could write when it last did.
+// IsReady reports whether the guard has capacity for another record and its last write succeeded.
 func (g *Guard) IsReady() bool {
-	return g.recordCount.Load() < g.maxRecords && !g.writeFailed.Load()
+	return g.recordCount.Load() < g.maxRecords && !g.lastWriteFailed.Load()
 }
 
-// candidate returns the guard as an arbiter of new tokens.
+// candidate returns the guard as a candidate for the arbiter of new tokens.
 func (g *Guard) candidate(node string) resumetoken.Candidate {
 	return resumetoken.Candidate{Name: node, GuardID: g.ID, IsReady: g.IsReady(), IsDurable: g.IsDurable}
 }
 
-// unavailableBackend has no records and grants nothing.
+// unavailableBackend keeps no records and grants nothing.
 type unavailableBackend struct{}
 
-func (unavailableBackend) spend(_ *resumetoken.Token, _ resumetoken.RedemptionID, reply func(resumetoken.Verdict)) {
+func (unavailableBackend) spend(
+	_ *resumetoken.Token, _ resumetoken.RedemptionID, reply func(resumetoken.Verdict),
+) {
 	reply(resumetoken.GuardUnavailable)
 }
 
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -11,8 +11,8 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// What was granted stays granted to that redemption alone, over a restart; a guard whose file
-// is lost has another id, and rejects all tokens that name the old one.
+// After a restart a token stays granted to the same redemption only. A guard whose file was lost
+// has another id and rejects all tokens that name the old id.
 func TestGrantsSurviveRestart(t *testing.T) {
 	dir, keyRing := t.TempDir(), newTestKeyRing(t, "a")
 	guard, stop := startGuard(t, Options{Dir: dir})
@@ -35,11 +35,11 @@
 	guard, _ = startGuard(t, Options{Dir: dir})
 	for _, old := range []*resumetoken.Token{token, unspent} {
 		if verdict := spend(guard, old, 3); verdict != resumetoken.WrongGuard {
-			t.Errorf("after its file was lost: %v", verdict)
+			t.Errorf("after the loss of the file: %v", verdict)
 		}
 	}
 	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.foreign-*")); len(quarantined) != 1 {
-		t.Errorf("quarantined: %q", quarantined)
+		t.Errorf("quarantined files %q, want one", quarantined)
 	}
 }
 
@@ -58,16 +58,16 @@
 			}
 			_, more := mintTestToken(t, keyRing, guard, clock.now(), time.Hour)
 			if verdict := spend(guard, more, 1); verdict != resumetoken.GuardFull || guard.IsReady() {
-				t.Errorf("one more: %v, ready %v", verdict, guard.IsReady())
+				t.Errorf("token beyond the capacity: %v, ready %v", verdict, guard.IsReady())
 			}
 			if verdict := spend(guard, spent[0], 1); verdict != resumetoken.Granted {
-				t.Errorf("repeated while full: %v", verdict)
+				t.Errorf("redemption repeated while full: %v", verdict)
 			}
 			clock.advance(2 * time.Minute)
 			guard.backend.sweep()
 			for startedAt := time.Now(); guard.RecordCount() > 0; time.Sleep(time.Millisecond) {
 				if time.Since(startedAt) > 10*time.Second {
-					t.Fatalf("%d records were not swept", guard.RecordCount())
+					t.Fatalf("%d records were not swept within 10 s", guard.RecordCount())
 				}
 			}
 			if verdict := spend(guard, more, 1); verdict != resumetoken.Granted {
@@ -77,17 +77,17 @@
 	}
 }
 
-// A guard that can't write grants nothing and is not ready.
+// A guard that can't write to its file grants nothing and is not ready.
 func TestRejectsAfterWriteFailure(t *testing.T) {
 	keyRing := newTestKeyRing(t, "a")
 	guard, _ := startGuard(t, Options{Dir: t.TempDir()})
 	_, token := mintTestToken(t, keyRing, guard, time.Now(), time.Minute)
-	if err := guard.backend.(*durableBackend).store.Close(); err != nil { // as if the disk were gone
+	if err := guard.backend.(*durableBackend).store.Close(); err != nil { // makes every write fail
 		t.Fatal(err)
 	}
 	verdict := spend(guard, token, 1)
 	if verdict != resumetoken.GuardUnavailable || guard.IsReady() || guard.RecordCount() != 0 {
-		t.Errorf("%v, ready %v, %d records", verdict, guard.IsReady(), guard.RecordCount())
+		t.Errorf("verdict %v, ready %v, %d records", verdict, guard.IsReady(), guard.RecordCount())
 	}
 }
 
@@ -97,24 +97,25 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(Options{Dir: dir, MaxRecords: 1}); err == nil || !strings.Contains(err.Error(), dir) {
-		t.Errorf("a directory that can't be made: %v", err)
+		t.Errorf("opening a guard in a file instead of a directory: %v", err)
 	}
 }
 
-// Over a day's worth of expiry the guard's file stays as large as its busiest minutes made it.
-func TestDayStaysFlat(t *testing.T) {
+// Over a day of spent and expired tokens the file of a guard does not grow, because the space of
+// swept records is used again.
+func TestFileDoesNotGrowOverDay(t *testing.T) {
 	keyRing, clock := newTestKeyRing(t, "a"), newTestClock()
 	guard, _ := startGuard(t, Options{Dir: t.TempDir(), NoSync: true, MaxRecords: 100_000, Now: clock.now})
 	backend := guard.backend.(*durableBackend)
 	const (
-		step       = time.Minute
-		perStep    = 50
-		dayMinutes = 24 * 60
+		step          = time.Minute
+		tokensPerStep = 50
+		dayMinutes    = 24 * 60
 	)
-	var early int64
+	var earlySize int64
 	for minute := range dayMinutes {
 		var wg sync.WaitGroup
-		for range perStep {
+		for range tokensPerStep {
 			_, token := mintTestToken(t, keyRing, guard, clock.now(), step)
 			wg.Add(1)
 			guard.Spend(token, resumetoken.RedemptionID{1}, func(verdict resumetoken.Verdict) {
@@ -128,11 +129,12 @@
 		clock.advance(step)
 		backend.sweep()
 		if minute == dayMinutes/10 {
-			early = backend.store.Size()
+			earlySize = backend.store.Size()
 		}
 	}
-	late := backend.store.Size()
-	if late > early || guard.RecordCount() > 4*perStep {
-		t.Errorf("%d bytes after a tenth of the day, %d at its end; %d records", early, late, guard.RecordCount())
+	lateSize := backend.store.Size()
+	if lateSize > earlySize || guard.RecordCount() > 4*tokensPerStep {
+		t.Errorf("file of %d bytes after a tenth of the day, %d at the end; %d records",
+			earlySize, lateSize, guard.RecordCount())
 	}
 }
--- a/internal/replayguard/killed_process_test.go
+++ b/internal/replayguard/killed_process_test.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// childDirVariable makes the test binary a child that works in the directory it names.
+	// childDirVariable is the environment variable that makes the test binary run as the child
+	// process, in the directory that is its value.
 	childDirVariable = "CORALRELAY_LEDGER_CHILD"
-	// childTimeout is how long the child waits to be killed.
+	// childTimeout is how long the child process waits to be killed.
 	childTimeout = 10 * time.Second
 )
 
-// TestMain lets the test binary act as a node that is killed.
+// TestMain runs the child process if childDirVariable is set, and the tests otherwise.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(childDirVariable); dir != "" {
 		spendAndKillSelf(dir)
@@ -28,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// spendAndKillSelf spends a token and kills its process once that is durable, before anybody
-// hears of the verdict.
+// spendAndKillSelf spends a token and kills its own process when the grant is durable, before the
+// verdict is sent.
 func spendAndKillSelf(dir string) {
 	t := &testing.T{}
 	keyRing := newTestKeyRing(t, "a")
@@ -48,15 +49,16 @@
 	time.Sleep(childTimeout)
 }
 
-// A node that is killed between the commit and the response has spent the token: the next
-// redemption gets that verdict.
-func TestKilledBeforeAnswer(t *testing.T) {
+// If a node is killed between the commit of a grant and the response, the token is spent: the next
+// redemption gets the verdict Spent.
+func TestKilledBeforeResponse(t *testing.T) {
 	dir := t.TempDir()
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childDirVariable+"="+dir)
 	output, _ := child.CombinedOutput()
-	if status, ok := child.ProcessState.Sys().(syscall.WaitStatus); !ok || status.Signal() != syscall.SIGKILL {
-		t.Fatalf("the child ended with %v: %s", child.ProcessState, output)
+	if status, ok := child.ProcessState.Sys().(syscall.WaitStatus); !ok ||
+		status.Signal() != syscall.SIGKILL {
+		t.Fatalf("the child process exited with %v: %s", child.ProcessState, output)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "token"))
 	if err != nil {
@@ -65,6 +67,6 @@
 	token := openToken(t, newTestKeyRing(t, "a"), string(text))
 	guard, _ := startGuard(t, Options{Dir: dir})
 	if verdict := spend(guard, token, 2); verdict != resumetoken.Spent || guard.RecordCount() != 1 {
-		t.Errorf("presented again: %v, %d records", verdict, guard.RecordCount())
+		t.Errorf("second redemption: %v, %d records", verdict, guard.RecordCount())
 	}
 }
--- a/internal/replayguard/memory.go
+++ b/internal/replayguard/memory.go
@@ -30,7 +30,7 @@
 	reply(m.decide(token, id))
 }
 
-// decide judges a token and records a new grant.
+// decide returns the verdict on a token and records a new grant.
 func (m *memoryBackend) decide(token *resumetoken.Token, id resumetoken.RedemptionID) resumetoken.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,8 +47,10 @@
 	return verdict
 }
 
-// lookup returns the redemption that was granted a token.
-func (m *memoryBackend) lookup(window resumetoken.Window, nonce resumetoken.Nonce) (resumetoken.RedemptionID, bool) {
+// lookup returns the redemption that a token was granted to, and false if the token is unspent.
+func (m *memoryBackend) lookup(
+	window resumetoken.Window, nonce resumetoken.Nonce,
+) (resumetoken.RedemptionID, bool) {
 	id, ok := m.spent[window][nonce]
 	return id, ok
 }
--- a/internal/replayguard/peer.go
+++ b/internal/replayguard/peer.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// statusInterval is how often a peer is asked for its status.
+	// statusInterval is the interval between requests for the status of a peer.
 	statusInterval = 500 * time.Millisecond
-	// statusTimeout is how long a status counts.
+	// statusTimeout is how long a status is current after it was received.
 	statusTimeout = 1500 * time.Millisecond
-	// reconnectDelay is the pause before a new connection to a peer.
+	// reconnectDelay is the delay before a peer is dialed again.
 	reconnectDelay = 250 * time.Millisecond
-	// dialTimeout is how long a connection may take to be made.
+	// dialTimeout is how long dialing a peer may take.
 	dialTimeout = time.Second
-	// maxPendingRequests is how many requests to one peer may be unanswered.
+	// maxPendingRequests is the maximum number of unanswered requests to one peer.
 	maxPendingRequests = 1024
 )
 
-// errNotConnected means that there is no connection to the peer, or that it broke before the
-// response came. The same request may then be sent again.
+// errNotConnected means that a request could not be sent to the peer, or that the connection
+// ended before the response. The request may be repeated.
 var errNotConnected = errors.New("no connection to the peer")
 
-// Peer is the guard of another node. It is usable while Run runs.
+// Peer requests verdicts and the status from the guard of another node. It is connected only while
+// Run runs.
 type Peer struct {
-	Name, Addr string
-	ring       func() *resumetoken.KeyRing
-	failures   logging.Throttled
+	Name, Addr     string
+	currentKeyRing func() *resumetoken.KeyRing
+	connectionLog  logging.Throttled
 
 	mu         sync.Mutex
-	connection *peerConnection // nil while there is none
+	connection *peerConnection // nil if there is none
 	status     resumetoken.Candidate
-	statusAt   time.Time // when the status came
+	statusAt   time.Time // when the status was received
 }
 
-// Run keeps a connection to the peer until ctx ends.
+// Run keeps a connection to the peer until ctx ends. It reconnects after each failure.
 func (p *Peer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := p.connect(ctx); ctx.Err() == nil {
-			p.failures.Warn("replay guard peer connection failed", "component", component, "peer", p.Name, "error", err)
+			p.connectionLog.Warn("replay guard peer connection failed", "component", component,
+				"peer", p.Name, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -53,7 +55,8 @@
 	}
 }
 
-// Candidate returns the peer as an arbiter of new tokens, by its latest status.
+// Candidate returns the peer as a candidate for the arbiter of new tokens, according to its latest
+// status. It is ready only if it is connected and the status is current.
 func (p *Peer) Candidate(now time.Time) resumetoken.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,9 +66,12 @@
 	return candidate
 }
 
-// Spend requests the peer's verdict on a token, once. The verdict is ArbiterUnreachable if ctx
-// ends first, the error errNotConnected if there is no connection or it breaks.
-func (p *Peer) Spend(ctx context.Context, token string, id resumetoken.RedemptionID) (resumetoken.Verdict, error) {
+// Spend sends one request for the peer's verdict on a token. The verdict is ArbiterUnreachable if
+// ctx ends before the response. The error is errNotConnected if the request could not be sent or
+// the connection ended before the response.
+func (p *Peer) Spend(
+	ctx context.Context, token string, id resumetoken.RedemptionID,
+) (resumetoken.Verdict, error) {
 	reply := make(chan resumetoken.Verdict, 1)
 	p.mu.Lock()
 	connection := p.connection
@@ -79,7 +85,7 @@
 			return 0, errNotConnected
 		}
 		return verdict, nil
-	case <-ctx.Done(): // a late response stays in the channel's buffer
+	case <-ctx.Done(): // a late response does not block, as reply is buffered
 		return resumetoken.ArbiterUnreachable, nil
 	}
 }
--- a/internal/replayguard/peer_connection.go
+++ b/internal/replayguard/peer_connection.go
@@ -11,23 +11,23 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// responseTimeout ends a connection on which nothing is received.
+// responseTimeout is how long a connection may receive nothing before it is closed.
 const responseTimeout = 2 * statusTimeout
 
-// peerConnection is one connection to a peer. The peer's lock guards lastSequence and pending.
+// peerConnection is one connection to a peer. Peer.mu protects lastSequence and pending.
 type peerConnection struct {
 	conn         net.Conn
 	challenge    string
 	outgoing     chan string
 	lastSequence uint64
-	pending      map[uint64]*pendingRequest // by sequence number; nil after the connection's end
+	pending      map[uint64]*pendingRequest // by sequence number; nil after the connection has ended
 }
 
-// pendingRequest is a request that is not yet answered.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	key *resumetoken.Key
-	// reply receives the verdict and has a buffer for it; it is closed if the connection ends
-	// first. It is nil for a HELLO.
+	// reply is a buffered channel that receives the verdict. It is closed if the connection ends
+	// before the response. It is nil for a HELLO.
 	reply chan<- resumetoken.Verdict
 }
 
@@ -40,8 +40,8 @@
 	}
 }
 
-// connect makes a connection and works until it or ctx ends. The goroutines that it starts
-// have ended when it returns.
+// connect connects to the peer and serves the connection until it or ctx ends. The goroutines that
+// connect starts end before it returns.
 func (p *Peer) connect(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", p.Addr)
@@ -62,14 +62,14 @@
 	return p.readResponses(connection)
 }
 
-// attach makes the connection the one that requests are sent on.
+// attach sets the connection on which requests are sent.
 func (p *Peer) attach(connection *peerConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connection = connection
 }
 
-// detach ends the use of a connection: whoever waits for a response learns that none comes.
+// detach stops the use of a connection and closes the reply channels of its unanswered requests.
 func (p *Peer) detach(connection *peerConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,8 +82,9 @@
 	connection.pending = nil
 }
 
-// pollStatus requests the peer's status again and again until ctx ends. It closes the
-// connection if no request can be sent, as with a peer that answers nothing.
+// pollStatus requests the peer's status every statusInterval until ctx ends. It closes the
+// connection if a request can't be sent, for example because the peer does not respond and too
+// many requests are unanswered.
 func (p *Peer) pollStatus(ctx context.Context, connection *peerConnection) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -100,7 +101,7 @@
 	}
 }
 
-// readResponses reads until the connection ends or a response is not accepted.
+// readResponses handles responses until the connection ends or a response is rejected.
 func (p *Peer) readResponses(connection *peerConnection) error {
 	reader := bufio.NewReaderSize(connection.conn, maxLineBytes)
 	for {
@@ -115,12 +116,12 @@
 	}
 }
 
-// send queues a request; the arguments stand behind the key's id. It is false if the
+// send queues a request, in which the arguments follow the key id. It returns false if the
 // connection has ended, too many requests are unanswered, or no key signs yet.
 func (p *Peer) send(
 	connection *peerConnection, reply chan<- resumetoken.Verdict, command string, arguments ...string,
 ) bool {
-	key, ok := p.ring().SigningKey(time.Now())
+	key, ok := p.currentKeyRing().SigningKey(time.Now())
 	if !ok {
 		return false
 	}
@@ -141,7 +142,7 @@
 	}
 }
 
-// handleResponse takes one response.
+// handleResponse handles one response. The error is a *protocolError.
 func (p *Peer) handleResponse(connection *peerConnection, fields []string) error {
 	if len(fields) < minResponseFields {
 		return malformed(fields)
@@ -153,8 +154,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := connection.pending[sequence]
-	if request == nil || !verifyLine(request.key, responseContext(connection.challenge), fields) {
-		return &protocolError{problem: "response's MAC does not match, sequence", line: fields[1]}
+	if request == nil || !hasValidMAC(request.key, responseContext(connection.challenge), fields) {
+		return &protocolError{
+			problem: "response has no pending request or a wrong MAC, sequence", line: fields[1],
+		}
 	}
 	delete(connection.pending, sequence)
 	isVerdict := request.reply != nil
--- a/internal/replayguard/protocol.go
+++ b/internal/replayguard/protocol.go
@@ -12,36 +12,37 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// What guards send to each other: lines of fields, each authenticated by a MAC under the peer
-// subkey of a key that both have. A response's MAC covers the challenge that the requesting
-// side drew for the connection and the request's sequence number, so that no old response
-// fits. Two versions of the program may be at the two ends: the words never change.
+// The messages between guards are lines of fields. Each line except NO is authenticated by a MAC
+// under the peer subkey of a key that both sides have. The MAC of a response covers the challenge that the
+// requesting side generated for the connection and the sequence number of the request, so that
+// an old response can't be replayed. The two sides may run different versions of the program,
+// so the keywords must never change.
 //
 //	HELLO CHALLENGE SEQUENCE KEY MAC
 //	LEDGER SEQUENCE NAME GUARD ready|full stays|goes MAC
 //	SPEND CHALLENGE SEQUENCE KEY REDEMPTION TOKEN MAC
 //	VERDICT SEQUENCE VERDICT MAC
-//	NO                                  and a close, for a line that is not accepted
+//	NO                                  rejects a line; the connection is then closed
 const (
-	helloMessage   = "HELLO"   // requests a status
-	statusMessage  = "LEDGER"  // the response to helloMessage
-	spendMessage   = "SPEND"   // requests a verdict
-	verdictMessage = "VERDICT" // the response to spendMessage
-	refusedMessage = "NO"
+	helloMessage    = "HELLO"   // requests a status
+	statusMessage   = "LEDGER"  // the response to helloMessage
+	spendMessage    = "SPEND"   // requests a verdict
+	verdictMessage  = "VERDICT" // the response to spendMessage
+	rejectedMessage = "NO"      // rejects a request
 
 	readyValue    = "ready"
 	notReadyValue = "full"
 	durableValue  = "stays"
 	volatileValue = "goes"
 
-	// requestContext is the MAC's context of a request.
+	// requestContext is the MAC context of requests.
 	requestContext = "ask"
 
 	lineEnd = "\r\n"
-	// maxLineBytes is the length of the longest line, which is a SPEND.
+	// maxLineBytes is the maximum length of a line. The longest lines are those of SPEND.
 	maxLineBytes = 1024
 
-	// The numbers of fields.
+	// The number of fields in each message, including the keyword and the MAC.
 	helloFields       = 5
 	spendFields       = 7
 	statusFields      = 7
@@ -51,20 +52,20 @@
 	challengeSize = 16 // bytes
 )
 
-// protocolError is a line that is not accepted: malformed, or without a matching MAC.
+// protocolError is the error for a rejected line, which is malformed or has a wrong MAC.
 type protocolError struct {
 	problem string
-	line    string // what was received, or the part of it that is at fault
+	line    string // the received line or the invalid part of it
 }
 
 func (e *protocolError) Error() string { return fmt.Sprintf("%s: %.60q", e.problem, e.line) }
 
-// malformed is the error for a line that is no message of the protocol.
+// malformed returns the error for a line that is not a message of the protocol.
 func malformed(fields []string) error {
 	return &protocolError{problem: "malformed line", line: strings.Join(fields, " ")}
 }
 
-// readFields reads a line of at least one field.
+// readFields reads a line and returns its fields. It is an error if there are none.
 func readFields(reader *bufio.Reader) ([]string, error) {
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
@@ -77,26 +78,28 @@
 	return fields, nil
 }
 
-// request is a HELLO or a SPEND whose MAC matches.
+// request is a HELLO or a SPEND with a valid MAC.
 type request struct {
 	command   string
 	challenge string
 	sequence  string
 	key       *resumetoken.Key
-	arguments []string // a SPEND's redemption id and token
+	arguments []string // of a SPEND: redemption id and token
 }
 
-// parseRequest checks a request's fields and MAC.
-func parseRequest(ring *resumetoken.KeyRing, fields []string) (request, error) {
+// parseRequest parses a request and verifies its MAC.
+func parseRequest(keyRing *resumetoken.KeyRing, fields []string) (request, error) {
 	isHello := fields[0] == helloMessage && len(fields) == helloFields
 	isSpend := fields[0] == spendMessage && len(fields) == spendFields
 	if !isHello && !isSpend {
 		return request{}, malformed(fields)
 	}
 	id, err := strconv.ParseUint(fields[3], 16, 32)
-	key, isKnown := ring.Get(resumetoken.KeyID(id))
-	if err != nil || !isKnown || !verifyLine(key, requestContext, fields) {
-		return request{}, &protocolError{problem: "request's MAC does not match, key", line: fields[3]}
+	key, isKnown := keyRing.Get(resumetoken.KeyID(id))
+	if err != nil || !isKnown || !hasValidMAC(key, requestContext, fields) {
+		return request{}, &protocolError{
+			problem: "request has an unknown key or a wrong MAC, key", line: fields[3],
+		}
 	}
 	return request{
 		command:   fields[0],
@@ -107,7 +110,7 @@
 	}, nil
 }
 
-// redemptionID reads a SPEND's redemption id.
+// redemptionID parses the redemption id of a SPEND.
 func (r request) redemptionID() (id resumetoken.RedemptionID, err error) {
 	if n, err := hex.Decode(id[:], []byte(r.arguments[0])); err != nil || n != len(id) {
 		return id, &protocolError{problem: "malformed redemption id", line: r.arguments[0]}
@@ -115,10 +118,10 @@
 	return id, nil
 }
 
-// token is a SPEND's token as text.
+// token returns the encoded token of a SPEND.
 func (r request) token() string { return r.arguments[1] }
 
-// statusLine is the response to a HELLO.
+// statusLine returns the response to a HELLO.
 func (r request) statusLine(status resumetoken.Candidate) string {
 	readiness, durability := notReadyValue, volatileValue
 	if status.IsReady {
@@ -128,15 +131,18 @@
 		durability = durableValue
 	}
 	return authenticatedLine(r.key, responseContext(r.challenge),
-		statusMessage, r.sequence, status.Name, hex.EncodeToString(status.GuardID[:]), readiness, durability)
+		statusMessage, r.sequence, status.Name, hex.EncodeToString(status.GuardID[:]),
+		readiness, durability)
 }
 
-// verdictLine is the response to a SPEND.
+// verdictLine returns the response to a SPEND.
 func (r request) verdictLine(verdict resumetoken.Verdict) string {
-	return authenticatedLine(r.key, responseContext(r.challenge), verdictMessage, r.sequence, verdict.String())
+	return authenticatedLine(r.key, responseContext(r.challenge),
+		verdictMessage, r.sequence, verdict.String())
 }
 
-// parseStatus reads the response to a HELLO, which must have the peer's name.
+// parseStatus parses the response to a HELLO. It is an error if the response does not contain the
+// name of the peer.
 func parseStatus(fields []string, peer string) (resumetoken.Candidate, error) {
 	status := resumetoken.Candidate{
 		Name:      peer,
@@ -144,7 +150,7 @@
 		IsDurable: fields[5] == durableValue,
 	}
 	if fields[2] != peer {
-		return status, &protocolError{problem: "peer has another name", line: fields[2]}
+		return status, &protocolError{problem: "unexpected peer name", line: fields[2]}
 	}
 	if n, err := hex.Decode(status.GuardID[:], []byte(fields[3])); err != nil || n != len(status.GuardID) {
 		return status, &protocolError{problem: "malformed guard id", line: fields[3]}
@@ -152,7 +158,7 @@
 	return status, nil
 }
 
-// parseVerdict reads the response to a SPEND.
+// parseVerdict parses the response to a SPEND.
 func parseVerdict(fields []string) (resumetoken.Verdict, error) {
 	verdict, ok := resumetoken.ParseVerdict(fields[2])
 	if !ok {
@@ -161,10 +167,10 @@
 	return verdict, nil
 }
 
-// responseContext is the MAC's context of the responses on one connection.
+// responseContext returns the MAC context of the responses on the connection with this challenge.
 func responseContext(challenge string) string { return "answer " + challenge }
 
-// authenticatedLine joins fields and their MAC to a line.
+// authenticatedLine returns a line of the fields and their MAC.
 func authenticatedLine(key *resumetoken.Key, context string, fields ...string) string {
 	return strings.Join(append(fields, lineMAC(key, context, fields)), " ") + lineEnd
 }
@@ -173,14 +179,14 @@
 	return hex.EncodeToString(key.PeerMAC(append([]string{context}, fields...)...))
 }
 
-// verifyLine reports whether the last field is the MAC of those before.
-func verifyLine(key *resumetoken.Key, context string, fields []string) bool {
+// hasValidMAC reports whether the last field is the MAC of the preceding ones.
+func hasValidMAC(key *resumetoken.Key, context string, fields []string) bool {
 	last := len(fields) - 1
 	want := lineMAC(key, context, fields[:last])
 	return subtle.ConstantTimeCompare([]byte(want), []byte(fields[last])) == 1
 }
 
-// newChallenge draws the challenge of one connection.
+// newChallenge returns a random challenge for a connection.
 func newChallenge() string {
 	var challenge [challengeSize]byte
 	_, _ = rand.Read(challenge[:])
--- a/internal/replayguard/server.go
+++ b/internal/replayguard/server.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxConnections is how many peers may be connected at once.
+	// maxConnections is the maximum number of connections of peers.
 	maxConnections = 64
-	// maxQueuedResponses is how many responses may wait on one connection; beyond it the
-	// connection ends, as a commit must not wait for a slow reader.
+	// maxQueuedResponses is the maximum number of queued responses per connection. If the queue
+	// is full, the connection is closed, because a commit must not wait for a slow reader.
 	maxQueuedResponses = 1024
-	// idleTimeout ends a connection: a peer sends something every statusInterval.
+	// idleTimeout is how long a connection may receive nothing before it is closed. A peer sends
+	// a request every statusInterval.
 	idleTimeout = 10 * time.Second
-	// writeTimeout is how long a write may block.
+	// writeTimeout is how long a write to a connection may block.
 	writeTimeout = time.Second
-	// acceptRetryDelay is the pause after a failed accept.
+	// acceptRetryDelay is the delay after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// Server answers the requests of other nodes' guards.
+// Server answers the requests of other nodes to the guard of its node.
 type Server struct {
 	Name     string // of the node
 	Guard    *Guard
 	KeyRing  func() *resumetoken.KeyRing
-	failures logging.Throttled
+	warnings logging.Throttled
 }
 
-// Serve answers until ctx ends or the listener is closed, and then returns nil. It closes the
-// listener at ctx's end, and returns after its connections have ended.
+// Serve accepts connections until ctx ends or the listener is closed. It closes the listener when
+// ctx ends. It returns nil after all connections have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -48,7 +49,7 @@
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			s.failures.Warn("replay guard accept failed", "component", component, "error", err)
+			s.warnings.Warn("replay guard accept failed", "component", component, "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -64,9 +65,8 @@
 	}
 }
 
-// serveConnection answers on one connection until it or ctx ends, or a request is not
-// accepted. Responses are written by a goroutine of their own, since they come when a batch
-// is durable.
+// serveConnection serves a connection until it or ctx ends or a request is rejected. A separate
+// goroutine writes the responses, because a verdict is available only when its batch is durable.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -84,16 +84,16 @@
 		}
 	}
 	err := s.readRequests(conn, respond)
-	var refused *protocolError
-	if ctx.Err() == nil && errors.As(err, &refused) {
-		s.failures.Warn("replay guard request rejected", "component", component,
+	var rejection *protocolError
+	if ctx.Err() == nil && errors.As(err, &rejection) {
+		s.warnings.Warn("replay guard request rejected", "component", component,
 			"remote_address", conn.RemoteAddr().String(), "error", err)
 		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, _ = conn.Write([]byte(refusedMessage + lineEnd))
+		_, _ = conn.Write([]byte(rejectedMessage + lineEnd))
 	}
 }
 
-// readRequests answers until the connection ends or a request is not accepted.
+// readRequests handles requests until the connection ends or a request is rejected.
 func (s *Server) readRequests(conn net.Conn, respond func(line string)) error {
 	reader := bufio.NewReaderSize(conn, maxLineBytes)
 	for {
@@ -108,8 +108,8 @@
 	}
 }
 
-// handleRequest answers one request; the response to a SPEND comes when its verdict is
-// durable. The error is a *protocolError.
+// handleRequest handles one request. The response to a SPEND is sent when its verdict is durable.
+// The error is a *protocolError.
 func (s *Server) handleRequest(fields []string, respond func(line string)) error {
 	request, err := parseRequest(s.KeyRing(), fields)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// writeLines writes what is queued, several lines at once where they wait. It returns when ctx
-// ends, or closes the connection and returns when a write fails.
+// writeLines writes queued lines, several at once if possible. It returns when ctx ends. If a write
+// fails, it closes the connection and returns.
 func writeLines(ctx context.Context, conn net.Conn, outgoing <-chan string) {
 	writer := bufio.NewWriter(conn)
 	for {
@@ -150,7 +150,7 @@
 	}
 }
 
-// writeBatch writes a line and those that are queued behind it.
+// writeBatch writes a line and the lines that are queued behind it.
 func writeBatch(conn net.Conn, writer *bufio.Writer, line string, outgoing <-chan string) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := writer.WriteString(line); err != nil {
--- a/internal/replayguard/service.go
+++ b/internal/replayguard/service.go
@@ -12,50 +12,50 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// retryInterval is the pause before a request that found no connection is sent again.
+// retryInterval is the delay before a request is repeated after errNotConnected.
 const retryInterval = 10 * time.Millisecond
 
-// ServiceConfig is what may change while the node runs.
+// ServiceConfig is the configuration of a Service that can change while the node runs.
 type ServiceConfig struct {
 	KeyRing        *resumetoken.KeyRing
 	TokenLifetime  time.Duration
-	ClockSkew      time.Duration // by which nodes' clocks may differ
-	ArbiterTimeout time.Duration // for an arbiter's verdict, before the client gets a snapshot
+	ClockSkew      time.Duration // maximum difference between the clocks of nodes
+	ArbiterTimeout time.Duration // for an arbiter's verdict; then the client gets a snapshot
 }
 
-// Service mints and redeems tokens for one node. Its methods may be called from several
-// goroutines.
+// Service mints and redeems tokens for one node. Its methods may be called concurrently.
 type Service struct {
-	name         string
-	guard        *Guard
-	peers        map[string]*Peer // by node name
-	config       atomic.Pointer[ServiceConfig]
-	draining     atomic.Bool
-	mintFailures logging.Throttled
-	Counters     Counters
+	name           string
+	guard          *Guard
+	peers          map[string]*Peer // by node name
+	config         atomic.Pointer[ServiceConfig]
+	draining       atomic.Bool
+	mintFailureLog logging.Throttled
+	Counters       Counters
 }
 
-// Counters count what a Service has done.
+// Counters count the operations of a Service.
 type Counters struct {
-	Minted       atomic.Int64                                     // tokens
-	WithoutToken atomic.Int64                                     // clients that were migrated without one
+	Minted       atomic.Int64                                     // tokens that were minted
+	WithoutToken atomic.Int64                                     // clients migrated without a token
 	Verdicts     [resumetoken.ArbiterUnreachable + 1]atomic.Int64 // redemptions by verdict
 }
 
-// NewService returns the service of the node of that name. The peers are addresses by node
-// name; the node's own is passed over, as one list may serve all nodes.
+// NewService returns the service of the node with the given name. peers maps the names of nodes
+// to the addresses of their servers. It may contain the node itself, which is ignored, so that all
+// nodes can have the same configuration.
 func NewService(name string, guard *Guard, config ServiceConfig, peers map[string]string) *Service {
 	service := &Service{name: name, guard: guard, peers: map[string]*Peer{}}
 	service.config.Store(&config)
 	for peer, addr := range peers {
 		if peer != name {
-			service.peers[peer] = &Peer{Name: peer, Addr: addr, ring: service.KeyRing}
+			service.peers[peer] = &Peer{Name: peer, Addr: addr, currentKeyRing: service.KeyRing}
 		}
 	}
 	return service
 }
 
-// Run keeps the connections to peers until ctx ends.
+// Run keeps the connections to the peers open until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range s.peers {
@@ -64,17 +64,18 @@
 	wg.Wait()
 }
 
-// KeyRing returns the keys in force.
+// KeyRing returns the key ring of the current configuration.
 func (s *Service) KeyRing() *resumetoken.KeyRing { return s.config.Load().KeyRing }
 
-// UpdateConfig puts another configuration in force.
+// UpdateConfig replaces the configuration.
 func (s *Service) UpdateConfig(config ServiceConfig) { s.config.Store(&config) }
 
-// BeginDraining tells the service that the node is about to end: peers have to arbitrate the
-// tokens that it mints from now on.
+// BeginDraining marks the node as draining. As the node is about to exit, peers arbitrate the
+// tokens that it mints from then on, if a peer is ready.
 func (s *Service) BeginDraining() { s.draining.Store(true) }
 
-// Mint returns a token for a client that is migrated, or "" if no guard could arbitrate one.
+// Mint returns a token for a client that is migrated. It returns "" if no guard can arbitrate the
+// token or if minting fails.
 func (s *Service) Mint(flowKey, group string, position resumetoken.Position) string {
 	now, config := time.Now(), s.config.Load()
 	var nonce resumetoken.Nonce
@@ -98,7 +99,8 @@
 		Nonce:    nonce,
 	})
 	if err != nil {
-		s.mintFailures.Warn("resume token not minted, client migrates without one", "component", component, "error", err)
+		s.mintFailureLog.Warn("resume token not minted, client migrates without one",
+			"component", component, "error", err)
 		s.Counters.WithoutToken.Add(1)
 		return ""
 	}
@@ -106,7 +108,7 @@
 	return token
 }
 
-// chooseArbiter names the guard that arbitrates a new token; it is false if none could.
+// chooseArbiter chooses the arbiter of a new token, and returns false if no guard can be one.
 func (s *Service) chooseArbiter(now time.Time, nonce resumetoken.Nonce) (resumetoken.Candidate, bool) {
 	peers := make([]resumetoken.Candidate, 0, len(s.peers))
 	for _, peer := range s.peers {
@@ -115,8 +117,8 @@
 	return resumetoken.ChooseArbiter(s.guard.candidate(s.name), s.draining.Load(), peers, nonce)
 }
 
-// Redeem decides how the stream of a client that presents a token starts, within the
-// configured ArbiterTimeout and before ctx ends.
+// Redeem decides how the stream of a client that presents a token starts. It waits for the
+// arbiter's verdict until ctx ends, but no longer than the configured ArbiterTimeout.
 func (s *Service) Redeem(ctx context.Context, presentation resumetoken.Presentation) resumetoken.Outcome {
 	config := s.config.Load()
 	if mutation.Enabled("binding") {
@@ -150,8 +152,8 @@
 	return outcome
 }
 
-// requestVerdict asks the token's arbiter: this node's guard or a peer's. The text is the
-// token's encoded form.
+// requestVerdict requests the verdict of the token's arbiter, which is the guard of this node or
+// of a peer. text is the encoded token.
 func (s *Service) requestVerdict(
 	ctx context.Context, text string, token *resumetoken.Token, id resumetoken.RedemptionID,
 ) resumetoken.Verdict {
@@ -165,7 +167,7 @@
 	return spendAtPeer(ctx, peer, text, id)
 }
 
-// spendLocally asks this node's guard and waits for its verdict until ctx ends.
+// spendLocally requests the verdict of this node's guard and waits for it until ctx ends.
 func (s *Service) spendLocally(
 	ctx context.Context, token *resumetoken.Token, id resumetoken.RedemptionID,
 ) resumetoken.Verdict {
@@ -179,9 +181,11 @@
 	}
 }
 
-// spendAtPeer asks a peer, and again under the same redemption id where the connection broke,
-// until ctx ends.
-func spendAtPeer(ctx context.Context, peer *Peer, text string, id resumetoken.RedemptionID) resumetoken.Verdict {
+// spendAtPeer requests the verdict of a peer's guard. After errNotConnected it repeats the request
+// with the same redemption id until ctx ends.
+func spendAtPeer(
+	ctx context.Context, peer *Peer, text string, id resumetoken.RedemptionID,
+) resumetoken.Verdict {
 	for {
 		verdict, err := peer.Spend(ctx, text, id)
 		if err == nil {
--- a/internal/replayguard/wire_format_test.go
+++ b/internal/replayguard/wire_format_test.go
@@ -12,7 +12,7 @@
 
 const wireChallenge = "f0e1d2c3b4a5968778695a4b3c2d1e0f"
 
-// wireExchanges are the requests of a peer on one connection and their responses.
+// wireExchanges are the requests of a peer on one connection and the expected responses.
 var wireExchanges = []struct{ request, response string }{
 	{
 		"HELLO f0e1d2c3b4a5968778695a4b3c2d1e0f 1 00000002 002ca6821ed0088171daca0943dbb49c\r\n",
@@ -28,17 +28,17 @@
 	},
 }
 
-// roundTrip sends a line to a server and returns the line that comes back.
+// roundTrip sends a line to a server on a new connection and returns the response.
 func roundTrip(t *testing.T, server *Server, request string) string {
 	t.Helper()
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	served := make(chan struct{})
-	go func() { server.serveConnection(context.Background(), far); close(served) }()
-	defer func() { _ = near.Close(); <-served }()
-	if _, err := near.Write([]byte(request)); err != nil {
+	go func() { server.serveConnection(context.Background(), serverConn); close(served) }()
+	defer func() { _ = clientConn.Close(); <-served }()
+	if _, err := clientConn.Write([]byte(request)); err != nil {
 		t.Fatal(err)
 	}
-	response, err := bufio.NewReader(near).ReadString('\n')
+	response, err := bufio.NewReader(clientConn).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,31 +51,32 @@
 	server := &Server{Name: "n0", Guard: guard, KeyRing: func() *resumetoken.KeyRing { return keyRing }}
 	for _, exchange := range wireExchanges {
 		if response := roundTrip(t, server, exchange.request); response != exchange.response {
-			t.Errorf("%q\nis answered %q\nwant        %q", exchange.request, response, exchange.response)
+			t.Errorf("request       %q\nresponse      %q\nwant response %q",
+				exchange.request, response, exchange.response)
 		}
 	}
 	if response := roundTrip(t, server, "SPEND\r\n"); response != "NO\r\n" {
-		t.Errorf("a malformed line is answered %q", response)
+		t.Errorf("response to a malformed line: %q", response)
 	}
 	server.Guard = NewUnavailable()
 	server.Guard.ID = storedID
 	const want = "LEDGER 1 n0 0a1b2c3d4e5f6071 full goes f24629a2e2db2e7bda416f03f391e0ea\r\n"
 	if response := roundTrip(t, server, wireExchanges[0].request); response != want {
-		t.Errorf("an unavailable guard answers %q, want %q", response, want)
+		t.Errorf("response of an unavailable guard: %q, want %q", response, want)
 	}
 }
 
 func TestPeerWireFormat(t *testing.T) {
 	keyRing := storedKeyRing(t)
-	peer := &Peer{Name: "n0", ring: func() *resumetoken.KeyRing { return keyRing }}
+	peer := &Peer{Name: "n0", currentKeyRing: func() *resumetoken.KeyRing { return keyRing }}
 	peer.connection = &peerConnection{
 		challenge: wireChallenge,
 		outgoing:  make(chan string, 1),
 		pending:   map[uint64]*pendingRequest{},
 	}
-	checkExchange := func(number int) {
+	checkExchange := func(index int) {
 		t.Helper()
-		exchange := wireExchanges[number]
+		exchange := wireExchanges[index]
 		if request := <-peer.connection.outgoing; request != exchange.request {
 			t.Errorf("sent %q\nwant %q", request, exchange.request)
 		}
@@ -87,7 +88,7 @@
 	checkExchange(0)
 	want := resumetoken.Candidate{Name: "n0", GuardID: storedID, IsReady: true, IsDurable: true}
 	if peer.status != want {
-		t.Errorf("the peer is %+v, want %+v", peer.status, want)
+		t.Errorf("peer status %+v, want %+v", peer.status, want)
 	}
 	for i, test := range []struct {
 		redemptionID string
