--- a/internal/fleet/replog/logcodec.go
+++ b/internal/fleet/replog/logcodec.go
@@ -52,7 +52,7 @@
 	return binary.BigEndian.AppendUint32(encoded, crc32.Checksum(encoded, castagnoli))
 }
 
-// decodeLog decodes a stored entry, or returns errCorruptLog.
+// decodeLog decodes a stored entry, or returns errCorruptEntry.
 func decodeLog(encoded []byte) (*raft.Log, error) {
 	if len(encoded) < logHeaderSize+logChecksumSize {
 		return nil, errCorruptEntry
