--- a/cmd/coralrelay/udp.go
+++ b/cmd/coralrelay/udp.go
@@ -43,7 +43,7 @@
 	}
 	goroutines.Go(func() { listeners.Serve(ctx) })
 	slog.Info("udp enabled", "component", componentUDP, "listen", listeners.Addr(), "listeners", len(listeners),
-		"flows", options.Flows, "sockets", options.Sockets)
+		"flows", options.MaxFlows, "sockets", options.Sockets)
 	return listeners, nil
 }
 
@@ -62,14 +62,14 @@
 		Deadline:      class.Deadline,
 		Sockets:       options.Sockets,
 		SharedSockets: options.Mode == "shared",
-		ProxyHeader:   options.Proxy,
+		ProxyHeader:   options.ProxyHeader,
 		Table: flowtable.Options{
-			Entries:          options.Flows,
-			IdleTimeout:      options.Idle.Duration,
+			Entries:          options.MaxFlows,
+			IdleTimeout:      options.IdleTimeout.Duration,
 			Policy:           flowPolicies[options.Policy],
-			ReservedShare:    options.Reserve,
-			SettledDatagrams: options.Settled,
-			SettledAge:       options.After.Duration,
+			ReservedShare:    options.ReservedShare,
+			SettledDatagrams: options.SettledDatagrams,
+			SettledAge:       options.SettledAge.Duration,
 		},
 		Sources: flowtable.SourceOptions{
 			Slots: options.Sources.Slots,
@@ -77,13 +77,13 @@
 			Burst: options.Sources.Burst,
 		},
 		FlowQueue:   flowtable.QueueLimit{Count: options.Queue.Flow, Bytes: options.Queue.FlowBytes},
-		QueueBudget: flowtable.QueueBudget{Count: options.Queue.All, Bytes: options.Queue.AllBytes},
-		NewFlows:    flowtable.Pacer{Rate: options.New.Rate, Burst: options.New.Burst, NewestFirst: true},
+		QueueBudget: flowtable.QueueBudget{Count: options.Queue.Total, Bytes: options.Queue.TotalBytes},
+		NewFlows:    flowtable.Pacer{Rate: options.NewFlows.Rate, Burst: options.NewFlows.Burst, NewestFirst: true},
 		Silence: flowtable.SilenceOptions{
 			After:     options.Silence.After.Duration,
 			Datagrams: options.Silence.Datagrams,
 		},
 		Echo:          options.Silence.Echo,
-		ReplacedFlows: flowtable.Pacer{Rate: options.Again.Rate, Burst: options.Again.Burst},
+		ReplacedFlows: flowtable.Pacer{Rate: options.ReplacedFlows.Rate, Burst: options.ReplacedFlows.Burst},
 	}
 }
--- a/internal/scenario/udp/udp.go
+++ b/internal/scenario/udp/udp.go
@@ -165,17 +165,17 @@
 	if config.Listen, err = loopback.Reserve(); err != nil {
 		return err
 	}
-	config.Flows = r.Table
+	config.MaxFlows = r.Table
 	config.Sockets = r.Table
-	config.Idle.Duration = flowTimeout
+	config.IdleTimeout.Duration = flowTimeout
 	if r.Shared || r.Mutation == mutationStale {
 		config.Mode = "shared"
-		config.Proxy = true
+		config.ProxyHeader = true
 	}
 	config.Silence.After.Duration = 500 * time.Millisecond
-	config.Reserve = 0.5
-	config.Settled = 2
-	config.After.Duration = 10 * time.Millisecond
+	config.ReservedShare = 0.5
+	config.SettledDatagrams = 2
+	config.SettledAge.Duration = 10 * time.Millisecond
 	return nil
 }
 
