--- a/internal/store/fileformat.go
+++ b/internal/store/fileformat.go
@@ -9,9 +9,9 @@
 	"os"
 )
 
-// bbolt's file format, as far as it is read here: a page header stands before each page's
-// contents, and the first two pages hold a meta record each, of which the newer valid one
-// counts.
+// The parts of bbolt's file format that this package reads. Each page starts with a page
+// header. The first two pages hold a meta record each; the valid record of the latest
+// transaction is in effect.
 const (
 	pageHeaderSize    = 16 // bytes
 	metaRecordSize    = 64 // bytes
@@ -23,23 +23,23 @@
 	maxPageSize        = 1 << 20 // bytes
 )
 
-// metaOffsets are where meta records are looked for, in bytes. The second one stands one
-// page on; the page's size is in the first, which may be the damaged one, so that the usual
-// sizes are tried.
+// metaOffsets are the offsets, in bytes, at which meta records are searched. The second record
+// is one page after the first. The page size is read from the first record, which may be
+// damaged, so that the common page sizes are tried instead.
 var metaOffsets = []int64{0, 4096, 8192, 16384, 65536}
 
-// metaRecord is what a meta record says of the file.
+// metaRecord holds the decoded fields of a meta record.
 type metaRecord struct {
 	pageSize    uint64 // bytes
-	root        uint64 // the page of the root bucket
+	root        uint64 // number of the root bucket's page
 	pageCount   uint64
-	transaction uint64 // that wrote the record
+	transaction uint64 // ID of the transaction that wrote the record
 }
 
-// verifyFile checks that the file has a sound meta record and a sound tree below it. An empty
-// file is sound: it becomes a store. bbolt checks the tree too, but in a goroutine of its own
-// where what it finds ends the process; and it maps a file that is shorter than its meta
-// record says, which faults later.
+// verifyFile checks that the file has a valid meta record and a valid tree of pages. An empty
+// file is valid: Open creates a store in it. bbolt checks the tree as well, but in a separate
+// goroutine where a panic ends the process. It also maps a file that is shorter than its meta
+// record states, and a later access is a memory fault.
 func verifyFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 		return err
 	}
 	if uint64(info.Size())/meta.pageSize < meta.pageCount {
-		return fmt.Errorf("%w: %d bytes, its meta record says %d pages of %d",
+		return fmt.Errorf("%w: file has %d bytes, meta record states %d pages of %d bytes",
 			ErrCorrupt, info.Size(), meta.pageCount, meta.pageSize)
 	}
 	if err := newTreeChecker(file, meta).checkPage(meta.root, 0); err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// readNewestMeta returns the valid meta record of the latest transaction.
+// readNewestMeta returns the valid meta record that the latest transaction wrote.
 func readNewestMeta(file *os.File) (newest metaRecord, err error) {
 	hasMagic := false
 	encoded := make([]byte, metaRecordSize)
@@ -97,8 +97,8 @@
 	return newest, nil
 }
 
-// decodeMeta reads a meta record. It is false if the record has another format version or
-// its checksum does not match.
+// decodeMeta decodes a meta record. It returns false if the record has another format version
+// or its checksum does not match.
 func decodeMeta(encoded []byte) (metaRecord, bool) {
 	checksum := fnv.New64a()
 	_, _ = checksum.Write(encoded[:metaChecksumOffset])
--- a/internal/store/lock.go
+++ b/internal/store/lock.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// minLockTimeout is how long a lock is waited for at least.
+	// minLockTimeout is the lower bound of Options.LockTimeout.
 	minLockTimeout = 20 * time.Millisecond
-	// lockRetryInterval is the pause before a lock is tried again.
+	// lockRetryInterval is the pause between two attempts to lock a file.
 	lockRetryInterval = 5 * time.Millisecond
-	// maxOwnerBytes bounds what an error quotes of an owner file.
+	// maxOwnerBytes bounds how much of an owner file an error quotes.
 	maxOwnerBytes = 200
 
 	filePermissions = 0o600
 	dirPermissions  = 0o700
 )
 
-// acquireLock opens the file, creating it if it may be written, and locks it as bbolt does.
-// Closing the file releases the lock.
+// acquireLock opens the file and locks it with flock, as bbolt does. Unless options.ReadOnly
+// is set, it creates a missing file. Closing the file releases the lock.
 func acquireLock(path string, options Options) (*os.File, error) {
 	openFlags, lockMode := os.O_RDWR|os.O_CREATE, unix.LOCK_EX
 	if options.ReadOnly {
@@ -52,11 +52,11 @@
 	}
 }
 
-// lockTimeout is how long another process's lock is waited for.
+// lockTimeout returns how long to wait for a lock that another process holds.
 func (o Options) lockTimeout() time.Duration { return max(o.LockTimeout, minLockTimeout) }
 
-// ownerPath names the text file beside a store that says which process has it open. It is
-// for people; the lock is what keeps others out.
+// ownerPath returns the path of the text file that names the process that has the store
+// open. The file is information for operators; only the lock excludes other processes.
 func ownerPath(path string) string { return path + ".owner" }
 
 func writeOwner(path string) {
@@ -64,7 +64,7 @@
 	_ = os.WriteFile(ownerPath(path), []byte(text), filePermissions)
 }
 
-// readOwner returns what is known of the process that has the store open; "" if nothing is.
+// readOwner returns the contents of the owner file, or "" if it cannot be read.
 func readOwner(path string) string {
 	text, err := os.ReadFile(ownerPath(path))
 	if err != nil {
--- a/internal/store/metadata.go
+++ b/internal/store/metadata.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// The bucket that every store has, and its keys. They are part of the file format.
+// The metadata bucket of every store and its keys. They are part of the file format.
 var (
 	metadataBucket   = []byte("meta")
 	kindKey          = []byte("kind")
@@ -15,19 +15,20 @@
 	idKey            = []byte("id")
 )
 
-// uint64Size is the size of a number in the file, in bytes; numbers are big endian.
+// uint64Size is the size of a stored number, in bytes. Numbers are stored in big-endian order.
 const uint64Size = 8
 
-// Schema is what one kind of store holds.
+// Schema describes a kind of store.
 type Schema struct {
-	// Kind is a name such as "ledger". A file of another kind is not recognized.
+	// Kind is a name such as "ledger". Open treats a file of another kind as unrecognized.
 	Kind string
-	// Migrations make the layouts: the first makes layout 1 in an empty file, each other
-	// one turns a layout into the next. The last one makes the current layout.
+	// Migrations create and upgrade the layout: the first creates layout 1 in an empty
+	// file, each later one upgrades the file by one layout version. The last one leads to
+	// the current layout.
 	Migrations []func(*Tx) error
 }
 
-// currentLayout is the layout version that the migrations lead to.
+// currentLayout returns the layout version that the migrations lead to.
 func (s Schema) currentLayout() uint64 { return uint64(len(s.Migrations)) }
 
 // checkMetadata reads the file's identity, and migrates the file to the current layout.
@@ -44,7 +45,7 @@
 		return nil
 	}
 	if options.ReadOnly {
-		err := fmt.Errorf("layout %d, not yet brought to %d", layout, schema.currentLayout())
+		err := fmt.Errorf("layout %d is not migrated to %d", layout, schema.currentLayout())
 		return &Error{Op: OpOpen, Path: s.path, Err: err}
 	}
 	if err := s.db.Update(func(tx *Tx) error { return s.migrate(tx, schema, layout) }); err != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// readMetadata sets the store's identity and returns the file's layout version, which is 0
-// for an empty file.
+// readMetadata sets the store's identity and returns the layout version of the file. The
+// version of an empty file is 0.
 func (s *Store) readMetadata(tx *Tx, schema Schema) (layout uint64, err error) {
 	metadata := tx.Bucket(metadataBucket)
 	if metadata == nil {
@@ -64,22 +65,23 @@
 		return 0, nil
 	}
 	if kind := string(metadata.Get(kindKey)); kind != schema.Kind {
-		return 0, fmt.Errorf("%w: it is %.40q, not %q", ErrUnrecognized, kind, schema.Kind)
+		return 0, fmt.Errorf("%w: kind is %.40q, want %q", ErrUnrecognized, kind, schema.Kind)
 	}
 	encodedLayout, id := metadata.Get(layoutVersionKey), metadata.Get(idKey)
 	if len(encodedLayout) != uint64Size || len(id) != len(s.ID) {
-		return 0, fmt.Errorf("%w: no layout or identity", ErrCorrupt)
+		return 0, fmt.Errorf("%w: layout version or identity is missing", ErrCorrupt)
 	}
 	layout = binary.BigEndian.Uint64(encodedLayout)
 	copy(s.ID[:], id)
 	if layout > schema.currentLayout() {
-		return 0, fmt.Errorf("%w: layout %d, this one knows %d", ErrNewerLayout, layout, schema.currentLayout())
+		return 0, fmt.Errorf("%w: layout %d, this release supports up to %d",
+			ErrNewerLayout, layout, schema.currentLayout())
 	}
 	return layout, nil
 }
 
-// migrate turns the layout into the current one. A file of layout 0 gets its kind and a
-// random identity.
+// migrate upgrades the file from the given layout to the current one. A file of layout 0 gets
+// its kind and a random identity.
 func (s *Store) migrate(tx *Tx, schema Schema, layout uint64) error {
 	metadata, err := tx.CreateBucketIfNotExists(metadataBucket)
 	if err != nil {
@@ -93,13 +95,13 @@
 	}
 	for ; layout < schema.currentLayout(); layout++ {
 		if err := schema.Migrations[layout](tx); err != nil {
-			return fmt.Errorf("to layout %d: %w", layout+1, err)
+			return fmt.Errorf("migration to layout %d: %w", layout+1, err)
 		}
 	}
 	return metadata.Put(layoutVersionKey, binary.BigEndian.AppendUint64(nil, layout))
 }
 
-// Layout returns the layout version that the file has; 0 if it can't be read.
+// Layout returns the layout version of the file, or 0 if it cannot be read.
 func (s *Store) Layout() (layout uint64) {
 	_ = s.View(func(tx *Tx) error {
 		if encoded := tx.Bucket(metadataBucket).Get(layoutVersionKey); len(encoded) == uint64Size {
--- a/internal/store/quarantine.go
+++ b/internal/store/quarantine.go
@@ -6,15 +6,15 @@
 	"os"
 )
 
-// The labels in the names of quarantined files. Operators' pages list them.
+// Labels in the names of quarantined files. The operator documentation lists them.
 const (
 	labelCorrupt      = "torn"
 	labelNewerLayout  = "newer"
 	labelUnrecognized = "foreign"
 )
 
-// quarantineLabel returns the label for the reason why a file can't be used; it is false for
-// a reason that says nothing against the file's contents.
+// quarantineLabel returns the label for the reason why a file is unusable. It returns false if
+// the reason does not concern the contents of the file.
 func quarantineLabel(reason error) (string, bool) {
 	switch {
 	case errors.Is(reason, ErrNewerLayout):
@@ -27,12 +27,12 @@
 	return "", false
 }
 
-// Quarantine moves a file that can't be used to PATH.LABEL-N, with the first number N that is
-// free, and returns that path.
+// Quarantine moves a file to PATH.LABEL-N, where N is the first number from 1 whose name is not
+// taken, and returns that path.
 func Quarantine(path, label string) (string, error) {
 	for number := 1; ; number++ {
 		target := fmt.Sprintf("%s.%s-%d", path, label, number)
-		// Link fails where the name is taken, which a rename would overwrite.
+		// os.Link fails if the target exists; os.Rename would overwrite it.
 		err := os.Link(path, target)
 		if errors.Is(err, os.ErrExist) {
 			continue
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,41 +14,41 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Tx and Bucket are bbolt's, so that only this package imports it.
+// Tx and Bucket are aliases of bbolt's types, so that only this package imports bbolt.
 type (
-	// Tx is a transaction, valid until the function that was given it returns.
+	// Tx is a transaction. It is valid until the function that received it returns.
 	Tx = bolt.Tx
-	// Bucket is a bucket of a transaction.
+	// Bucket is a bucket within a transaction.
 	Bucket = bolt.Bucket
 )
 
-// Options bound a store.
+// Options configure how a store is opened.
 type Options struct {
-	MaxBytes    int           // greatest size of the file; 0 for no bound
-	LockTimeout time.Duration // how long another process's lock is waited for; 20 ms at least
-	ReadOnly    bool          // change nothing: no migration, no quarantine
+	MaxBytes    int           // maximum size of the file; 0 for no limit
+	LockTimeout time.Duration // how long to wait for another process's lock; at least 20 ms
+	ReadOnly    bool          // leave the file unchanged: no migration, no quarantine
 	NoSync      bool          // commits survive a crash of the process, but not of the machine
 }
 
-// ID is a store's identity, drawn at random when its file is created.
+// ID is the identity of a store, chosen at random when the file is created.
 type ID [8]byte
 
 // String returns the identity in hexadecimal digits.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Store is one open file. Its methods may be called from several goroutines.
+// Store is an open store file. Its methods are safe for concurrent use.
 type Store struct {
 	ID               ID
-	QuarantinePath   string // where Open moved a file that it could not use; empty if there was none
-	QuarantineReason error  // why that file could not be used
+	QuarantinePath   string // where Open moved an unusable file; empty if there was none
+	QuarantineReason error  // why that file was unusable
 	db               *bolt.DB
 	path             string
 }
 
-// Open opens the store at path, or creates one. A file that is corrupt, unrecognized or has a
-// newer layout is quarantined, and a new store with an identity of its own is created in its
-// place. With Options.ReadOnly such a file is an error instead, as is one that is missing or
-// has an older layout.
+// Open opens the store at path, or creates it. A file that is corrupt, unrecognized or has a
+// newer layout is quarantined, and a store with a new identity is created in its place. With
+// Options.ReadOnly such a file is an error instead, and so is a file that is missing or has an
+// older layout.
 func Open(path string, schema Schema, options Options) (*Store, error) {
 	if !options.ReadOnly {
 		if err := os.MkdirAll(filepath.Dir(path), dirPermissions); err != nil {
@@ -75,10 +75,10 @@
 	return opened, nil
 }
 
-// open opens or creates the file, without quarantine.
+// open opens or creates the file. It returns an error for an unusable file and leaves it in place.
 func open(path string, schema Schema, options Options) (opened *Store, err error) {
-	// A damaged file may send bbolt to pages that don't exist, which panics or, in the
-	// mapped file, faults.
+	// In a damaged file bbolt may follow references to pages that do not exist. It then
+	// panics, or the access to the mapped file is a memory fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var db *bolt.DB
 	defer func() {
@@ -113,8 +113,9 @@
 	return opened, nil
 }
 
-// verifyLocked checks the file's structure while no other process can write to it. One may
-// come between its return and bbolt's own lock, which then reports that.
+// verifyLocked checks the file's structure while it holds the lock, so that no other process
+// can write to the file. If another process locks the file after verifyLocked returns, but
+// before bolt.Open locks it, bolt.Open reports that.
 func verifyLocked(path string, options Options) error {
 	lockFile, err := acquireLock(path, options)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return verifyFile(path)
 }
 
-// openError is the error of Open; for ErrLocked it names the owner.
+// openError returns the error of Open for a cause. For ErrLocked it includes the owner.
 func openError(path string, err error) error {
 	failure := &Error{Op: OpOpen, Path: path, Err: err}
 	if errors.Is(err, ErrLocked) {
@@ -133,7 +134,7 @@
 	return failure
 }
 
-// classifyBoltError adds the sentinel that applies to an error of bolt.Open.
+// classifyBoltError replaces or wraps an error of bolt.Open by the sentinel that applies, if any.
 func classifyBoltError(err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
@@ -147,7 +148,7 @@
 }
 
 // isCorruption reports whether an error of bbolt means that the file is damaged. Some of
-// these errors have no sentinel.
+// these errors have no sentinel in bbolt and are recognized by their text.
 func isCorruption(err error) bool {
 	for _, corruption := range []error{bolterrors.ErrInvalid, bolterrors.ErrVersionMismatch, bolterrors.ErrChecksum} {
 		if errors.Is(err, corruption) {
@@ -157,20 +158,20 @@
 	return strings.Contains(err.Error(), "file size too small") || strings.Contains(err.Error(), "freepages")
 }
 
-// View calls read in a read-only transaction, and returns its error. Damage that is found on
-// the way is an *Error that wraps ErrCorrupt.
+// View calls read in a read-only transaction and returns its error. If bbolt meets a damaged
+// page, the error is an *Error that wraps ErrCorrupt.
 func (s *Store) View(read func(*Tx) error) error {
 	return s.recoverFault(OpRead, func() error { return s.db.View(read) })
 }
 
-// Update calls write in a transaction and commits it if write returns nil. The change is
-// durable when Update returns nil, and without effect if it returns an error.
+// Update calls write in a transaction and commits it if write returns nil. If Update returns
+// nil, the change is durable; if it returns an error, the change has no effect.
 func (s *Store) Update(write func(*Tx) error) error {
 	return s.recoverFault(OpWrite, func() error { return s.db.Update(write) })
 }
 
-// recoverFault turns what a damaged page makes bbolt do, a panic or a memory fault, into an
-// error: a store that is found damaged must not end the process.
+// recoverFault calls run and returns an error if bbolt panics or causes a memory fault, as it
+// does on a damaged page: a damaged store must not end the process.
 func (s *Store) recoverFault(op Operation, run func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 
 var schemaV1 = Schema{Kind: "test", Migrations: []func(*Tx) error{createItems}}
 
-// schemaV2 adds a mark, so that its migration has something to do.
+// schemaV2 has a second migration, which adds a key.
 var schemaV2 = Schema{Kind: "test", Migrations: []func(*Tx) error{createItems, addMark}}
 
 func createItems(tx *Tx) error {
@@ -57,7 +57,7 @@
 	id := store.ID
 	_ = store.Close()
 	if _, err := Open(path, schemaV2, Options{ReadOnly: true}); err == nil {
-		t.Error("an older layout was passed off as the newer to a reader")
+		t.Error("a file with an older layout was opened read-only")
 	}
 	store = mustOpen(t, path, schemaV2)
 	if store.ID != id || store.Layout() != 2 || store.QuarantinePath != "" {
@@ -72,28 +72,28 @@
 		return errors.New("no")
 	}}}
 	if _, err := Open(path, failing, Options{}); err == nil {
-		t.Error("a migration that failed went through")
+		t.Error("Open succeeded although a migration failed")
 	}
 	if store = mustOpen(t, path, schemaV2); get(store, "k") != "v" {
-		t.Error("a migration that failed left traces")
+		t.Error("a failed migration changed the file")
 	}
 	_ = store.Close()
 
 	store = mustOpen(t, path, schemaV1) // an older release finds a newer file
 	if !errors.Is(store.QuarantineReason, ErrNewerLayout) || !strings.Contains(store.QuarantinePath, "newer") {
-		t.Errorf("newer file: quarantined %q, %v", store.QuarantinePath, store.QuarantineReason)
+		t.Errorf("newer layout: quarantined as %q, %v", store.QuarantinePath, store.QuarantineReason)
 	}
 	if store.ID == id || get(store, "k") != "" {
-		t.Errorf("instead of the newer file: id %v, k is %q", store.ID, get(store, "k"))
+		t.Errorf("store that replaces the newer file: id %v, k is %q", store.ID, get(store, "k"))
 	}
 	if quarantined := mustOpen(t, store.QuarantinePath, schemaV2); get(quarantined, "k") != "v" {
-		t.Error("the quarantined file is not complete")
+		t.Error("the quarantined file lost its contents")
 	}
 }
 
 func TestQuarantinesUnrecognizedFile(t *testing.T) {
 	for name, create := range map[string]func(path string){
-		"text": func(path string) { _ = os.WriteFile(path, []byte(strings.Repeat("dear diary\n", 5000)), 0o600) },
+		"text": func(path string) { _ = os.WriteFile(path, []byte(strings.Repeat("plain text\n", 5000)), 0o600) },
 		"other kind": func(path string) {
 			_ = mustOpen(t, path, Schema{Kind: "other", Migrations: schemaV1.Migrations}).Close()
 		},
@@ -109,7 +109,7 @@
 			}
 			third := Schema{Kind: "third", Migrations: schemaV1.Migrations}
 			if _, err := Open(path, third, Options{ReadOnly: true}); err == nil {
-				t.Error("a reader was given another kind")
+				t.Error("a file of another kind was opened read-only")
 			}
 		})
 	}
@@ -118,8 +118,9 @@
 	}
 }
 
-// A file that is cut off at any length, or has any page damaged, yields the store as it was,
-// or is quarantined and reported: never a crash, never a part.
+// Opening a file that was truncated at any length, or in which any page is damaged, must not
+// panic or return part of the data. Either the store is complete, or the file is quarantined
+// and this is reported.
 func TestCorruptFileIsNeverReadInPart(t *testing.T) {
 	dir := t.TempDir()
 	store := mustOpen(t, filepath.Join(dir, "intact"), schemaV1)
@@ -143,16 +144,16 @@
 			return
 		}
 		isSame := store.ID == id
-		if isSame && checkValues { // bbolt has no checksum of values
+		if isSame && checkValues { // only for truncated files, as bbolt has no checksum of values
 			for i := range 50 {
 				if get(store, fmt.Sprintf("k%02d", i)) != strings.Repeat("v", 300) {
-					t.Errorf("%s: opened as the same store, and k%02d is gone", name, i)
+					t.Errorf("%s: opened as the same store, but k%02d is missing", name, i)
 					break
 				}
 			}
 		}
 		if !isSame && store.QuarantinePath == "" && len(contents) > 0 {
-			t.Errorf("%s: another store, and nothing was reported", name)
+			t.Errorf("%s: opened as a new store, but no quarantine was reported", name)
 		}
 		if store.QuarantinePath != "" {
 			_ = os.Remove(store.QuarantinePath)
@@ -161,14 +162,14 @@
 		_ = os.Remove(path)
 	}
 	for length := 0; length < len(intact); length += 509 {
-		check(fmt.Sprintf("cut to %d", length), intact[:length], true)
+		check(fmt.Sprintf("truncated to %d bytes", length), intact[:length], true)
 	}
 	for offset := 0; offset < len(intact); offset += 1024 {
 		damaged := bytes.Clone(intact)
 		for i := range 64 {
 			damaged[offset+i] ^= 0xa5
 		}
-		check(fmt.Sprintf("damaged at %d", offset), damaged, false)
+		check(fmt.Sprintf("damaged at offset %d", offset), damaged, false)
 	}
 }
 
@@ -181,7 +182,7 @@
 	}
 	var failure *Error
 	if !errors.As(err, &failure) || failure.Op != OpOpen || failure.Path != path || failure.Owner == "" {
-		t.Errorf("%+v, want one of opening %s", failure, path)
+		t.Errorf("%+v, want an error of opening %s with its owner", failure, path)
 	}
 	_ = store.Close()
 	mustOpen(t, path, schemaV1)
@@ -200,9 +201,9 @@
 		}) != nil
 	}
 	if !failed {
-		t.Error("it grew beyond its bound")
+		t.Error("the file grew beyond MaxBytes")
 	}
 	if get(store, "0") == "" {
-		t.Error("what was written before is gone")
+		t.Error("a value written before the failure is missing")
 	}
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testdata/stored/store.db was made by
+// testdata/stored/store.db was written by
 //
 //	go test ./internal/store -run TestReadsStoredFile -update
 var update = flag.Bool("update", false, "rewrite testdata/stored")
@@ -17,7 +17,7 @@
 
 var storedID = ID{0x0a, 0x1b, 0x2c, 0x3d, 0x4e, 0x5f, 0x60, 0x71}
 
-// writeStore creates a store that differs from the stored file at most in how pages are laid out.
+// writeStore creates a store with the contents of the stored file. The arrangement of pages may differ.
 func writeStore(t *testing.T, path string) {
 	t.Helper()
 	store := mustOpen(t, path, schemaV2)
@@ -31,7 +31,7 @@
 	}
 }
 
-// copyStored returns the path of a copy of the stored file.
+// copyStored copies the stored file and returns the path of the copy.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "copy")
@@ -41,7 +41,8 @@
 	return filepath.Join(dir, filepath.Base(storedPath))
 }
 
-// Kind, layout and identity are where they were, in a stored file and in a new one.
+// The bucket and keys of kind, layout and identity are part of the file format: a file written
+// by an earlier version is read, and a new file has the same contents.
 func TestReadsStoredFile(t *testing.T) {
 	if *update {
 		_ = os.Remove(storedPath)
@@ -69,13 +70,13 @@
 				t.Errorf("k is %q, mark is %q", get(store, "k"), get(store, "mark"))
 			}
 			if found := contentsOf(t, store); !maps.Equal(found, want) {
-				t.Errorf("it holds %q, want %q", found, want)
+				t.Errorf("contents are %q, want %q", found, want)
 			}
 		})
 	}
 }
 
-// contentsOf returns all values by bucket and key.
+// contentsOf returns all values of the store, by "bucket/key".
 func contentsOf(t *testing.T, store *Store) map[string]string {
 	t.Helper()
 	contents := map[string]string{}
@@ -93,7 +94,7 @@
 	return contents
 }
 
-// The names under which operators find a file that can't be used.
+// The names of quarantined files are documented for operators and must not change.
 func TestQuarantineFileNames(t *testing.T) {
 	intact := func(string) {}
 	truncated := func(path string) {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -2,32 +2,33 @@
 
 import "context"
 
-// Write is one change of a batch.
+// Write is a change that a Writer commits in a batch with others.
 type Write interface {
-	// Apply makes the change in the batch's transaction. An error rolls the whole batch back.
+	// Apply makes the change in the batch's transaction. An error rolls back the whole batch.
 	Apply(tx *Tx) error
-	// Done is called once: with nil when the batch is durable, with the error if it was
-	// rolled back, or with ErrQueueFull, by Submit, if the write was not queued. Else it
-	// runs in the goroutine of Writer.Run, as Apply does.
+	// Done is called once: with nil when the batch is durable, or with the error if the
+	// batch was rolled back. Like Apply, it is called in the goroutine of Writer.Run. If
+	// the queue is full, Submit calls Done with ErrQueueFull in its caller's goroutine.
 	Done(err error)
 }
 
-// Writer commits the writes that wait in one transaction, while the batch before is being
-// synced: the disk's sync is paid once for a batch, and a lone write waits for no others.
+// Writer commits all queued writes in one transaction. Writes are queued while the previous
+// batch is synced to disk, so that one sync serves a batch, and a single write is committed
+// without waiting for others.
 type Writer struct {
 	store    *Store
 	maxBatch int
 	queue    chan Write
 }
 
-// NewWriter returns a Writer that commits up to maxBatch writes at once and lets up to
-// queueSize wait.
+// NewWriter returns a Writer that commits up to maxBatch writes in one transaction and queues
+// up to queueSize writes.
 func NewWriter(store *Store, maxBatch, queueSize int) *Writer {
 	return &Writer{store: store, maxBatch: maxBatch, queue: make(chan Write, queueSize)}
 }
 
-// Submit queues a write and returns at once. If the queue is full it calls the write's Done
-// with ErrQueueFull.
+// Submit queues a write without blocking. If the queue is full, it calls the write's Done with
+// ErrQueueFull.
 func (w *Writer) Submit(write Write) {
 	select {
 	case w.queue <- write:
@@ -36,7 +37,7 @@
 	}
 }
 
-// Run commits until ctx ends; writes that wait then are committed first.
+// Run commits writes until ctx ends. Before it returns, it commits the writes that are queued.
 func (w *Writer) Run(ctx context.Context) {
 	batch := make([]Write, 0, w.maxBatch)
 	for {
@@ -48,8 +49,8 @@
 	}
 }
 
-// collect waits for a write and appends it with those queued behind it, up to maxBatch. After
-// ctx has ended it does not wait, so that the batch is empty when no write is queued.
+// collect waits for a write and appends it and the writes queued after it, up to maxBatch.
+// After ctx has ended it does not wait, so that the batch is empty if no write is queued.
 func (w *Writer) collect(ctx context.Context, batch []Write) []Write {
 	select {
 	case write := <-w.queue:
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -28,8 +28,8 @@
 	return &testWrite{key: key, done: make(chan error, 1)}
 }
 
-// What is reported as written is there; a batch that fails leaves nothing, and the next one is
-// committed.
+// A write that is reported as done can be read. A batch that fails is rolled back as a whole,
+// and later batches are committed.
 func TestWriterCommitsBatchesAtomically(t *testing.T) {
 	store := mustOpen(t, filepath.Join(t.TempDir(), "x.db"), schemaV1)
 	writer := NewWriter(store, 8, 32)
@@ -38,17 +38,17 @@
 	failing, sibling := newTestWrite("bad"), newTestWrite("beside")
 	failing.applyErr = errors.New("no")
 	writer.Submit(sibling)
-	writer.Submit(failing) // in one batch with sibling, as nothing is committed yet
+	writer.Submit(failing) // in the same batch as sibling, as Run has not started
 	for range 100 {
 		writer.Submit(newTestWrite("many"))
 	}
 	rejected := newTestWrite("")
 	if writer.Submit(rejected); !errors.Is(<-rejected.done, ErrQueueFull) {
-		t.Error("the queue is full, and the write was not rejected")
+		t.Error("a write was not rejected although the queue is full")
 	}
 	go func() { writer.Run(ctx); close(done) }()
 	if <-failing.done == nil || <-sibling.done == nil || get(store, "beside") != "" {
-		t.Error("a batch that failed left a part")
+		t.Error("part of a failed batch was reported as done or stored")
 	}
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -65,7 +65,7 @@
 				}
 			}
 			if get(store, write.key) != "v" {
-				t.Errorf("write %d was reported as done and is not there", i)
+				t.Errorf("write %d was reported as done but cannot be read", i)
 			}
 		})
 	}
