--- a/internal/hotrestart/adopt.go
+++ b/internal/hotrestart/adopt.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// connectionsPerSession are the downstream and the upstream connection, in this order.
+	// connectionsPerSession is the number of connections in an offer: the downstream and the
+	// upstream connection, in this order.
 	connectionsPerSession = 2
-	// bytesPerDescriptor is the size of a descriptor in a control message.
+	// bytesPerDescriptor is the size of a file descriptor in a control message.
 	bytesPerDescriptor = 4
 )
 
-// packet is a message with the descriptors that came with it.
+// packet is a received message with its control message.
 type packet struct {
 	message []byte
-	control []byte // the socket's control message
-	flags   int    // of recvmsg
+	control []byte // socket control message, which holds the descriptors
+	flags   int    // flags that recvmsg returned
 }
 
 func (p packet) carriesDescriptors() bool {
@@ -33,7 +34,8 @@
 
 func (p packet) isTruncated() bool { return p.flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 }
 
-// adopt has one session adopted, which waits at the gate until its sender commits.
+// adopt decodes an offered session and passes it to the receiver. The session waits at the
+// returned gate until its sender commits.
 func adopt(received packet, receiver Receiver) (*proxy.CommitGate, error) {
 	conns, err := parseConnections(received.control)
 	var session proxy.EstablishedSession
@@ -43,22 +45,22 @@
 	if err == nil {
 		session.Gate = proxy.NewCommitGate()
 		if !receiver.Adopt(session, conns[0], conns[1]) {
-			err = fmt.Errorf("session %s: its id is in use, or this process ends too", session.ID)
+			err = fmt.Errorf("session %s: id is in use, or this process is ending as well", session.ID)
 		}
 	}
 	if err != nil {
 		for _, conn := range conns {
-			_ = conn.Close() // the sender's copies stay open
+			_ = conn.Close() // closes only this process's copies
 		}
 		return nil, err
 	}
 	return session.Gate, nil
 }
 
-// decodeSession decodes the session of a message that came with so many connections.
+// decodeSession decodes the session of a message with the given number of connections.
 func decodeSession(received packet, connections int) (session proxy.EstablishedSession, err error) {
 	if received.isTruncated() {
-		return session, errors.New("the message was truncated")
+		return session, errors.New("message was truncated")
 	}
 	if connections != connectionsPerSession {
 		return session, fmt.Errorf("the message has %d connections, want %d", connections, connectionsPerSession)
@@ -67,13 +69,13 @@
 		return session, err
 	}
 	if max(len(session.FromClient), len(session.FromUpstream)) > bufconn.BufferSize {
-		return session, fmt.Errorf("session %s: more unread bytes than a buffer holds", session.ID)
+		return session, fmt.Errorf("session %s: unread bytes exceed the buffer size", session.ID)
 	}
 	return session, nil
 }
 
-// parseConnections returns the connections of a control message; with an error, those that
-// were found before it.
+// parseConnections returns the connections of a control message. With an error, it also returns
+// the connections that were found, so that the caller can close them.
 func parseConnections(control []byte) (conns []net.Conn, err error) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -84,7 +86,7 @@
 		if err != nil {
 			return conns, err
 		}
-		for _, fd := range fds { // to the last one, so that none is left open
+		for _, fd := range fds { // also after an error, so that no descriptor leaks
 			conn, connErr := connectionOf(fd)
 			if connErr != nil {
 				err = connErr
@@ -100,17 +102,17 @@
 	return conns, nil
 }
 
-// connectionOf returns the connection that a received descriptor stands for, and closes the
-// descriptor. A connection that is not TCP is returned with an error.
+// connectionOf returns the connection of a received descriptor and closes the descriptor. A
+// connection that is not TCP is returned together with an error.
 func connectionOf(fd int) (net.Conn, error) {
 	file := os.NewFile(uintptr(fd), "handed over")
-	conn, err := net.FileConn(file) // has a copy of its own
+	conn, err := net.FileConn(file) // duplicates the descriptor
 	_ = file.Close()
 	if err != nil {
 		return nil, err
 	}
 	if _, isTCP := conn.(*net.TCPConn); !isTCP {
-		return conn, errors.New("the connection is not TCP")
+		return conn, errors.New("connection is not TCP")
 	}
 	return conn, nil
 }
--- a/internal/hotrestart/commit_test.go
+++ b/internal/hotrestart/commit_test.go
@@ -16,26 +16,26 @@
 	"coralrelay/internal/testsocket"
 )
 
-// A receiver that is prepared only after its sender has given up has nothing: a session that
-// was migrated is not relayed by it as well.
+// The sender migrates a session when the receiver does not reply in time. A receiver that becomes
+// prepared later must abort the session, so that it is not relayed twice.
 func TestSessionIsAbortedWhenReceiverIsLate(t *testing.T) {
 	dir, sender, receiver := t.TempDir(), newFakeNode(t), newFakeNode(t)
 	startReceiver(t, dir, receiver)
 	session, client, server, finished := sender.startSession(t)
 	session.HandOver(dialSender(t, dir))
 	await(t, receiver.adopting)
-	expectEnd(t, client, "MOVE\r\n") // while the receiver adopts it
+	expectEnd(t, client, "MOVE\r\n") // the receiver is still in Adopt
 	await(t, finished)
-	fmt.Fprint(client, "are you there\r\n") // at the sockets that the receiver still holds
+	fmt.Fprint(client, "are you there\r\n") // arrives at the receiver's copies of the sockets
 	close(receiver.allowAdopt)
 	expectEnd(t, server, "")
 	if outcome := await(t, receiver.ended); outcome != balance.Cancelled {
-		t.Errorf("at the receiver it ended as %v", outcome)
+		t.Errorf("the receiver ended the session as %v", outcome)
 	}
 }
 
-// offer is what a sender has offered by hand: its connection to the receiver, and both
-// connections of the session with their far ends.
+// offer is a session that the test has offered without a Sender.Take: the connection to the
+// receiver, and both connections of the session with their far ends.
 type offer struct {
 	conn                   *net.UnixConn
 	downstreamConn, client net.Conn
@@ -59,9 +59,9 @@
 	return o
 }
 
-// Until the commit an offered session is the sender's, whatever arrives on it, and stays so
-// where no commit comes: nothing is read, written, shut down or reset by the receiver. After
-// it, all that arrived meanwhile is there, once.
+// Until the commit an offered session belongs to the sender, even if data arrives on it: the
+// receiver must not read, write, shut down or reset its connections. Without a commit this
+// remains so. After a commit, the receiver relays all data that has arrived meanwhile, once.
 func TestPreparedSessionStaysSendersUntilCommit(t *testing.T) {
 	for name, end := range map[string]func(conn *net.UnixConn) (committed bool){
 		"committed": func(conn *net.UnixConn) bool {
@@ -103,25 +103,26 @@
 				o.server.Close()
 				expectEnd(t, o.client, "yes\r\nBYE\r\n")
 				if outcome := await(t, receiver.ended); outcome != balance.OK {
-					t.Errorf("it ended as %v", outcome)
+					t.Errorf("the session ended as %v", outcome)
 				}
 				return
 			}
 			if outcome := await(t, receiver.ended); outcome != balance.Cancelled {
-				t.Errorf("at the receiver it ended as %v", outcome)
+				t.Errorf("the receiver ended the session as %v", outcome)
 			}
 			expectRead(t, o.downstreamConn, " you there\r\n")
 			expectRead(t, o.upstreamConn, "D 7\r\n")
 			expectConnected(t, o.downstreamConn, o.client)
 			expectConnected(t, o.upstreamConn, o.server)
 			if _, err := o.conn.Write([]byte(commitMessage)); err == nil {
-				t.Error("a commit that comes too late seems to have come")
+				t.Error("a commit after the abort could be written")
 			}
 		})
 	}
 }
 
-// A receiver that ends while a session is prepared keeps only what was committed.
+// A receiver that ends while a session is prepared but not committed must leave the session to
+// the sender.
 func TestReceiverEndsWhilePrepared(t *testing.T) {
 	dir, receiver := t.TempDir(), newFakeNode(t)
 	stop := startReceiver(t, dir, receiver)
@@ -132,14 +133,14 @@
 	stop()
 	await(t, receiver.ended)
 	if _, err := o.conn.Write([]byte(commitMessage)); err == nil {
-		t.Error("a commit to a receiver that has ended seems to have come")
+		t.Error("a commit to a receiver that has ended could be written")
 	}
 	expectConnected(t, o.downstreamConn, o.client)
 	expectConnected(t, o.upstreamConn, o.server)
 }
 
-// lateCommitConn is a sender's connection on which the commit arrives just as the wait for it
-// ends.
+// lateCommitConn is a sender's connection on which a message arrives just as the read deadline
+// expires: the first Read writes the message and returns a timeout.
 type lateCommitConn struct {
 	*net.UnixConn
 	sender  net.Conn
@@ -157,8 +158,8 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// Sender and receiver never differ on a commit: one that was written counts, and one that
-// does not count can't be written.
+// Sender and receiver must agree on a commit that is sent as the receiver times out: if the
+// sender could write it, the receiver commits; after the receiver aborts, the write fails.
 func TestCommitAtDeadlineIsDecidedOnce(t *testing.T) {
 	for _, message := range []string{commitMessage, "commi", ""} {
 		listener := listenAt(t, filepath.Join(t.TempDir(), "s"))
@@ -174,16 +175,16 @@
 		defer func() { _ = conn.Close() }()
 		late := &lateCommitConn{UnixConn: conn, sender: sender, message: message}
 		if got := awaitCommit(late); got != (message == commitMessage) {
-			t.Errorf("%q was taken for a commit: %v", message, got)
+			t.Errorf("after the message %q awaitCommit returned %v", message, got)
 		}
 		if _, err := sender.Write([]byte(commitMessage)); err == nil {
-			t.Error("a commit could be written later")
+			t.Error("a commit could be written after the decision")
 		}
 	}
 }
 
-// A receiver that dies between its reply and the commit leaves the session with its sender,
-// where it is migrated.
+// If the receiver dies between its reply and the commit, the session stays with the sender,
+// which migrates it.
 func TestSessionStaysWhenReceiverDiesPrepared(t *testing.T) {
 	dir, sender := t.TempDir(), newFakeNode(t)
 	listener := listenAt(t, socketPath(dir))
@@ -199,7 +200,7 @@
 		for _, c := range conns {
 			defer c.Close()
 		}
-		_ = conn.CloseRead() // as its death does, but for sure before the sender's commit
+		_ = conn.CloseRead() // as the death of the receiver does, but certainly before the commit
 		_, _ = conn.Write([]byte(replyPrepared))
 	}()
 	session, client, server, finished := sender.startSession(t)
@@ -208,6 +209,6 @@
 	expectEnd(t, server, "")
 	await(t, finished)
 	if outcome := await(t, sender.ended); outcome != balance.Cancelled {
-		t.Errorf("it ended as %v", outcome)
+		t.Errorf("the session ended as %v", outcome)
 	}
 }
--- a/internal/hotrestart/fakenode_test.go
+++ b/internal/hotrestart/fakenode_test.go
@@ -15,17 +15,18 @@
 	"coralrelay/internal/testsocket"
 )
 
-// fakeNode is a process at either end: it serves sessions, and each that ends comes on ended.
+// fakeNode is the sending or the receiving process. It serves sessions and reports their outcomes
+// on ended.
 type fakeNode struct {
 	ended      chan balance.Outcome
-	adopting   chan struct{} // gets a value at each adoption, which then waits for allowAdopt
+	adopting   chan struct{} // receives a value at each Adopt, which then waits for allowAdopt
 	allowAdopt chan struct{}
 	sessions   sync.WaitGroup
 }
 
 func newFakeNode(t *testing.T) *fakeNode {
 	n := &fakeNode{ended: make(chan balance.Outcome, 9), adopting: make(chan struct{}, 9), allowAdopt: make(chan struct{})}
-	t.Cleanup(n.sessions.Wait) // once the far ends are closed
+	t.Cleanup(n.sessions.Wait) // runs after the far ends are closed
 	return n
 }
 
@@ -40,7 +41,7 @@
 	return true
 }
 
-// startSession establishes a session, and returns it with the far ends of its connections.
+// startSession establishes a session and returns it with the far ends of its connections.
 func (n *fakeNode) startSession(t *testing.T) (
 	session *proxy.Session, client, server net.Conn, finished <-chan struct{},
 ) {
@@ -60,7 +61,7 @@
 	return session, client, server, done
 }
 
-// expectRead reads as many bytes as are wanted.
+// expectRead reads len(want) bytes and requires that they are want.
 func expectRead(t *testing.T, c io.Reader, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
@@ -69,11 +70,11 @@
 	}
 }
 
-// expectEnd reads to an end that is no reset.
+// expectEnd requires that c delivers want and then ends without a reset.
 func expectEnd(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	if all, err := io.ReadAll(c); err != nil || string(all) != want {
-		t.Errorf("read %q, %v; want %q and its end", all, err, want)
+		t.Errorf("read %q, %v; want %q and the end of the stream", all, err, want)
 	}
 }
 
@@ -82,7 +83,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value")
 	}
 	return v
 }
--- a/internal/hotrestart/helpers_test.go
+++ b/internal/hotrestart/helpers_test.go
@@ -15,10 +15,11 @@
 	"coralrelay/internal/proxy"
 )
 
-// testTimeout bounds every wait: no test waits this long unless it fails.
+// testTimeout bounds every wait. A test waits this long only if it fails.
 const testTimeout = 10 * time.Second
 
-// fakeReceiver keeps what it adopts, unless it accepts nothing.
+// fakeReceiver records the sessions and the learned state that it receives. It adopts sessions
+// only if accepts is set.
 type fakeReceiver struct {
 	mu              sync.Mutex
 	accepts         bool
@@ -28,61 +29,62 @@
 	learned         []balance.LearnedState
 }
 
-func (k *fakeReceiver) Adopt(s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.accepts {
-		k.sessions = append(k.sessions, s)
-		k.downstreamConns = append(k.downstreamConns, downstreamConn)
-		k.upstreamConns = append(k.upstreamConns, upstreamConn)
+func (r *fakeReceiver) Adopt(s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.accepts {
+		r.sessions = append(r.sessions, s)
+		r.downstreamConns = append(r.downstreamConns, downstreamConn)
+		r.upstreamConns = append(r.upstreamConns, upstreamConn)
 	}
-	return k.accepts
+	return r.accepts
 }
 
-func (k *fakeReceiver) Learn(m balance.LearnedState) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.learned = append(k.learned, m)
+func (r *fakeReceiver) Learn(state balance.LearnedState) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.learned = append(r.learned, state)
 }
 
-// close closes what was adopted: left to the collector, it would be open for others to count.
-func (k *fakeReceiver) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range append(k.downstreamConns, k.upstreamConns...) {
+// close closes the adopted connections. Otherwise they would stay open until the next garbage
+// collection, and tests that count descriptors would include them.
+func (r *fakeReceiver) close() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, c := range append(r.downstreamConns, r.upstreamConns...) {
 		c.Close()
 	}
 }
 
-func (k *fakeReceiver) last() (s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	n := len(k.sessions) - 1
-	return k.sessions[n], k.downstreamConns[n], k.upstreamConns[n]
+func (r *fakeReceiver) last() (s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	n := len(r.sessions) - 1
+	return r.sessions[n], r.downstreamConns[n], r.upstreamConns[n]
 }
 
-// startReceiver starts a receiver at node.1, and returns what ends it.
-func startReceiver(t *testing.T, dir string, k Receiver) (end func()) {
+// startReceiver starts a receiver at node.1 and returns a function that ends it.
+func startReceiver(t *testing.T, dir string, receiver Receiver) (end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var goroutines sync.WaitGroup
-	if err := Listen(ctx, &goroutines, dir, "node.1", k); err != nil {
+	if err := Listen(ctx, &goroutines, dir, "node.1", receiver); err != nil {
 		t.Fatal(err)
 	}
 	end = func() { cancel(); goroutines.Wait() }
 	t.Cleanup(func() {
 		end()
-		if k, ok := k.(interface{ close() }); ok {
-			k.close()
+		if closer, ok := receiver.(interface{ close() }); ok {
+			closer.close()
 		}
 	})
 	return end
 }
 
-// socketPath is where a receiver at node.1 listens.
+// socketPath returns the path of the socket of a receiver at node.1.
 func socketPath(dir string) string { return filepath.Join(dir, socketPrefix+"node.1") }
 
-// listenAt listens as a receiver that the test plays by hand.
+// listenAt listens at path for a test that acts as the receiver itself.
 func listenAt(t *testing.T, path string) *net.UnixListener {
 	t.Helper()
 	listener, err := net.ListenUnix(network, &net.UnixAddr{Name: path, Net: network})
@@ -103,7 +105,7 @@
 	return sender
 }
 
-// expectConnected requires that what is written at either end arrives at the other.
+// expectConnected requires that data written at either end arrives at the other.
 func expectConnected(t *testing.T, near, far net.Conn) {
 	t.Helper()
 	for _, ends := range [][2]net.Conn{{near, far}, {far, near}} {
@@ -117,7 +119,7 @@
 	}
 }
 
-// countOpenDescriptors counts this process's descriptors.
+// countOpenDescriptors returns the number of open descriptors of this process.
 func countOpenDescriptors(t *testing.T) int {
 	t.Helper()
 	list, err := os.ReadDir("/proc/self/fd")
@@ -127,8 +129,8 @@
 	return len(list)
 }
 
-// expectOpenDescriptors waits for as many descriptors as there were: other goroutines of this
-// process open and close some, too.
+// expectOpenDescriptors waits until the number of open descriptors is before again. It waits as
+// other goroutines of this process open and close descriptors, too.
 func expectOpenDescriptors(t *testing.T, before int) {
 	t.Helper()
 	after := countOpenDescriptors(t)
@@ -139,7 +141,7 @@
 	}
 }
 
-// descriptorOf is a connection's descriptor.
+// descriptorOf returns the descriptor of a connection.
 func descriptorOf(t *testing.T, c net.Conn) (fd int) {
 	t.Helper()
 	if err := bufconn.WithDescriptor(c, func(n int) error { fd = n; return nil }); err != nil {
--- a/internal/hotrestart/limits_test.go
+++ b/internal/hotrestart/limits_test.go
@@ -19,21 +19,21 @@
 	"coralrelay/internal/testsocket"
 )
 
-// slowReceiver accepts everything, and takes more than a third of the time for each.
+// slowReceiver accepts everything and takes two fifths of transferTimeout for each message.
 type slowReceiver struct{ fakeReceiver }
 
-func (d *slowReceiver) Adopt(s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool {
+func (r *slowReceiver) Adopt(s proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool {
 	time.Sleep(transferTimeout * 2 / 5)
-	return d.fakeReceiver.Adopt(s, downstreamConn, upstreamConn)
+	return r.fakeReceiver.Adopt(s, downstreamConn, upstreamConn)
 }
 
-func (d *slowReceiver) Learn(m balance.LearnedState) {
+func (r *slowReceiver) Learn(state balance.LearnedState) {
 	time.Sleep(transferTimeout * 2 / 5)
-	d.fakeReceiver.Learn(m)
+	r.fakeReceiver.Learn(state)
 }
 
-// A receiver that is slow with each session holds up none for longer than one may take: all
-// others are rejected by then, and those that were taken work.
+// A slow receiver must not delay any session for longer than the transfer timeout: sessions that
+// wait for others too long are rejected, and stay connected at the sender.
 func TestSlowReceiverHoldsUpNoSession(t *testing.T) {
 	dir := t.TempDir()
 	receiver := &slowReceiver{fakeReceiver{accepts: true}}
@@ -53,11 +53,12 @@
 	}
 	takes.Wait()
 	if took := time.Since(begun); took > 2*transferTimeout {
-		t.Errorf("the last was decided after %v", took)
+		t.Errorf("the last session was decided after %v", took)
 	}
 }
 
-// Learned state holds up no session either.
+// Sending learned state to a slow receiver must not take longer than the transfer timeout either,
+// as the sessions wait for it.
 func TestSlowReceiverBoundsLearnedState(t *testing.T) {
 	dir := t.TempDir()
 	startReceiver(t, dir, &slowReceiver{fakeReceiver{accepts: true}})
@@ -69,11 +70,12 @@
 	begun := time.Now()
 	sender.SendLearnedState(state)
 	if took := time.Since(begun); took > 2*transferTimeout {
-		t.Errorf("it took %v", took)
+		t.Errorf("sending took %v", took)
 	}
 }
 
-// exhaustDescriptors takes all descriptors that are left; free gives some back. It ends with the test.
+// exhaustDescriptors opens files until no descriptor is left. The returned function frees some. The
+// limit is restored when the test ends.
 func exhaustDescriptors(t *testing.T) (free func(n int)) {
 	t.Helper()
 	var previous syscall.Rlimit
@@ -106,7 +108,7 @@
 	}
 }
 
-// countDescriptorsInPlace counts this process's descriptors without opening one.
+// countDescriptorsInPlace counts the open descriptors of this process without opening one.
 func countDescriptorsInPlace() (n int) {
 	for fd := range 4096 {
 		if _, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0); err == nil {
@@ -116,8 +118,8 @@
 	return n
 }
 
-// A receiver at its limit takes what it has descriptors for and loses none over a session
-// that it has none for, which stays with the sender.
+// A receiver at its descriptor limit must reject a session that it has no descriptors for, without
+// leaking any. The session stays with the sender. With enough descriptors it is accepted.
 func TestReceiverAtItsDescriptorLimit(t *testing.T) {
 	dir := t.TempDir()
 	receiver := &fakeReceiver{accepts: true}
@@ -141,22 +143,23 @@
 	}
 }
 
-// logCapture passes on the messages that are logged.
+// logCapture is a slog.Handler that sends the logged messages to a channel.
 type logCapture struct {
 	slog.Handler
 	messages chan string
 }
 
-func (w logCapture) Enabled(context.Context, slog.Level) bool { return true }
-func (w logCapture) Handle(_ context.Context, r slog.Record) error {
+func (c logCapture) Enabled(context.Context, slog.Level) bool { return true }
+func (c logCapture) Handle(_ context.Context, record slog.Record) error {
 	select {
-	case w.messages <- r.Message:
+	case c.messages <- record.Message:
 	default:
 	}
 	return nil
 }
 
-// A receiver that is out of descriptors as its sender comes takes the sessions once it has some.
+// A receiver that has no descriptor to accept its sender must retry, and receive the sessions once
+// descriptors are free.
 func TestReceiverRetriesAcceptWithoutDescriptors(t *testing.T) {
 	dir := t.TempDir()
 	captured := logCapture{slog.Default().Handler(), make(chan string, 99)}
@@ -186,10 +189,10 @@
 		select {
 		case <-ended:
 			t.Fatal("the receiver has ended")
-		case s := <-captured.messages:
-			hasRetried = strings.Contains(s, "accept")
+		case message := <-captured.messages:
+			hasRetried = strings.Contains(message, "accept")
 		case <-time.After(testTimeout):
-			t.Fatal("nobody has tried to accept the sender")
+			t.Fatal("the receiver has not tried to accept the sender")
 		}
 	}
 	free(8)
--- a/internal/hotrestart/protocol.go
+++ b/internal/hotrestart/protocol.go
@@ -8,34 +8,36 @@
 )
 
 const (
-	// component names this package in the log.
+	// component is the name of this package in log lines.
 	component = "hotrestart"
-	// network is that of the sockets: it keeps the borders of messages.
+	// network is the type of the sockets. It preserves message boundaries.
 	network = "unixpacket"
-	// transferTimeout is how long one session may take, the wait for its turn included:
-	// its client is not read meanwhile, and a line may be held back for a second. The other
-	// side does no I/O of its own; one that takes longer is about to fail.
+	// transferTimeout bounds the transfer of one session, including the wait for its turn.
+	// Meanwhile its client is not read, and a line may be delayed by one second at most. The
+	// receiver does no other I/O for a transfer, so that one that takes longer is failing.
 	transferTimeout = 500 * time.Millisecond
-	// maxMessageBytes bounds a message: the bytes that were read and not used, of both
-	// connections, in base64, and the request.
+	// maxMessageBytes bounds a message. It holds the unread bytes of both connections, in
+	// base64, and the request.
 	maxMessageBytes = 8 * bufconn.BufferSize
-	// maxServersPerMessage bounds the endpoints in a message of learned state: there may be
-	// more of them than fit into one.
+	// maxServersPerMessage bounds the endpoints in a message of learned state, as the state
+	// of all endpoints may exceed maxMessageBytes.
 	maxServersPerMessage = 64
-	// socketPrefix stands before a socket's name and is the version of the protocol:
-	// processes of two versions don't find each other, and sessions are migrated instead.
+	// socketPrefix starts the name of every socket and includes the protocol version.
+	// Processes with different versions do not find each other's sockets, so that sessions
+	// are migrated instead.
 	socketPrefix = "handover2-"
 )
 
-// The messages of the protocol besides offers and learned state. Their words are on the wire.
+// The messages of the protocol besides offers and learned state. Their texts are part of the
+// protocol.
 const (
-	replyPrepared = "prepared"  // the receiver holds the offered session
-	replyRejected = "not taken" // the receiver has none of what was sent
-	replyLearned  = "taken"     // the receiver has used the learned state
-	commitMessage = "commit"    // the sender's: the offered session is the receiver's from now on
+	replyPrepared = "prepared"  // receiver: it holds the offered session and waits for the commit
+	replyRejected = "not taken" // receiver: it kept nothing of the message
+	replyLearned  = "taken"     // receiver: it has applied the learned state
+	commitMessage = "commit"    // sender: the offered session belongs to the receiver from now on
 )
 
-// learnedStateMessage is a message without connections.
+// learnedStateMessage is a message of learned state. It is sent without descriptors.
 type learnedStateMessage struct {
 	Learned *balance.LearnedState `json:"Learned"`
 }
--- a/internal/hotrestart/receiver.go
+++ b/internal/hotrestart/receiver.go
@@ -16,20 +16,21 @@
 	"coralrelay/internal/proxy"
 )
 
-// acceptRetryDelay is the pause after a sender could not be accepted.
+// acceptRetryDelay is the pause after accepting a sender has failed.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Receiver goes on with sessions, and by what the other process has learned.
+// Receiver continues the sessions, and uses the learned state, of another process.
 type Receiver interface {
-	// Adopt takes a session that its sender still holds: nothing is read or written before
-	// its CommitGate is committed. If it is false, the connections are for Adopt's caller to
-	// close.
+	// Adopt accepts a session that its sender still holds. It must not read from or write to
+	// the connections before the session's CommitGate is committed. If it returns false, the
+	// caller closes the connections.
 	Adopt(session proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool
+	// Learn applies the learned state of the sending process.
 	Learn(state balance.LearnedState)
 }
 
-// Listen receives sessions at a name in a directory, until ctx ends. What an earlier process
-// has left there is removed: the name is this process's own.
+// Listen receives sessions on the socket called name in dir until ctx ends. It removes a socket
+// that an earlier process left there, as only one process at a time uses the name.
 func Listen(ctx context.Context, goroutines *sync.WaitGroup, dir, name string, receiver Receiver) error {
 	return withSocketAddr(dir, name, func(addr *net.UnixAddr) error {
 		if err := os.Remove(addr.Name); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -39,14 +40,14 @@
 		if err != nil {
 			return err
 		}
-		listener.SetUnlinkOnClose(false) // the name may be the next process's by then
+		listener.SetUnlinkOnClose(false) // the next process may already listen at this name
 		context.AfterFunc(ctx, func() { _ = listener.Close() })
 		goroutines.Go(func() { acceptSenders(ctx, listener, receiver) })
 		return nil
 	})
 }
 
-// acceptSenders serves one sender at a time, as there is only one other process.
+// acceptSenders serves one sender at a time, as a node has only one other process.
 func acceptSenders(ctx context.Context, listener *net.UnixListener, receiver Receiver) {
 	for {
 		conn, err := listener.AcceptUnix()
@@ -55,20 +56,21 @@
 			receive(ctx, conn, receiver)
 		case errors.Is(err, net.ErrClosed):
 			return
-		default: // out of descriptors, most likely: clients must end first, the sender waits
-			slog.Warn("cannot accept the sender of sessions", "component", component, "error", err)
+		default: // probably out of descriptors: the sender waits until clients have ended
+			slog.Warn("cannot accept a sender of sessions", "component", component, "error", err)
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// receive serves one sender until it ends or ctx does.
+// receive serves one sender until the sender disconnects or ctx ends.
 func receive(ctx context.Context, conn *net.UnixConn, receiver Receiver) {
 	defer func() { _ = conn.Close() }()
-	stop := context.AfterFunc(ctx, func() { _ = conn.CloseRead() }) // what was committed before still counts
+	// Messages that were sent before CloseRead, commits included, can still be read.
+	stop := context.AfterFunc(ctx, func() { _ = conn.CloseRead() })
 	defer stop()
 	if !isSameUser(conn) {
-		slog.Error("sender of sessions runs as another user, rejected", "component", component)
+		slog.Error("sender of sessions rejected: it runs as another user", "component", component)
 		return
 	}
 	sessions := 0
@@ -103,8 +105,8 @@
 	}
 }
 
-// receiveLearnedState uses a message of learned state and replies. If it is false, the
-// sender can't be reached.
+// receiveLearnedState applies a message of learned state and replies. It returns false if the
+// reply cannot be sent.
 func receiveLearnedState(conn net.Conn, received packet, receiver Receiver) bool {
 	if err := deliverLearnedState(received.message, receiver); err != nil {
 		slog.Warn("learned state rejected", "component", component, "error", err)
@@ -113,24 +115,24 @@
 	return sendReply(conn, replyLearned)
 }
 
-// deliverLearnedState decodes a message of learned state for the receiver.
+// deliverLearnedState decodes a message of learned state and passes it to the receiver.
 func deliverLearnedState(message []byte, receiver Receiver) error {
 	var decoded learnedStateMessage
 	if err := json.Unmarshal(message, &decoded); err != nil {
 		return err
 	}
 	if decoded.Learned == nil {
-		return errors.New("the message has neither connections nor learned state")
+		return errors.New("message has neither connections nor learned state")
 	}
 	receiver.Learn(*decoded.Learned)
 	return nil
 }
 
-// commitSession decides an adopted session. If it is false, the session is the sender's and
-// nothing more is to be received.
+// commitSession commits or aborts an adopted session. If it returns false, the session stays
+// with the sender, and no more messages are to be received.
 func commitSession(conn *net.UnixConn, gate *proxy.CommitGate) bool {
 	if !sendReply(conn, replyPrepared) || !awaitCommit(conn) {
-		slog.Warn("session stays with its sender, which did not commit", "component", component)
+		slog.Warn("sender did not commit, the session stays with it", "component", component)
 		gate.Abort()
 		return false
 	}
@@ -144,16 +146,17 @@
 	return err == nil
 }
 
-// commitReader is the part of a sender's connection by which it can be kept from committing.
+// commitReader is the part of a sender's connection that awaitCommit uses to receive a commit,
+// or to prevent one.
 type commitReader interface {
 	SetReadDeadline(t time.Time) error
 	CloseRead() error
 	Read(b []byte) (int, error)
 }
 
-// awaitCommit waits for the sender's commit. If it is false, none can come any more: a
-// sender that writes after the end of this half gets an error, and what it wrote before is
-// read here.
+// awaitCommit waits for the sender's commit and reports whether it arrived. If it returns false,
+// the sender can no longer commit: after CloseRead the sender's writes fail, and a commit that
+// was written before is read here.
 func awaitCommit(conn commitReader) bool {
 	var message [len(commitMessage) + 1]byte
 	_ = conn.SetReadDeadline(time.Now().Add(transferTimeout))
--- a/internal/hotrestart/receiver_test.go
+++ b/internal/hotrestart/receiver_test.go
@@ -15,7 +15,7 @@
 	"coralrelay/internal/testsocket"
 )
 
-// Messages that are none get a reply, and cost no descriptor.
+// Malformed messages must be answered with a rejection and must not leak descriptors.
 func TestRejectsForeignMessages(t *testing.T) {
 	dir := t.TempDir()
 	receiver := &fakeReceiver{accepts: true}
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	sender.SendLearnedState(balance.LearnedState{}) // so that the receiver has accepted
+	sender.SendLearnedState(balance.LearnedState{}) // ensures that the receiver has accepted the sender
 	before := countOpenDescriptors(t)
 	for name, m := range map[string]struct {
 		text string
@@ -51,16 +51,16 @@
 		if _, _, err := sender.conn.WriteMsgUnix([]byte(m.text), rights, nil); err != nil {
 			t.Fatal(name, err)
 		}
-		answer := make([]byte, 16)
+		reply := make([]byte, 16)
 		_ = sender.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		n, err := sender.conn.Read(answer)
-		if string(answer[:n]) != replyRejected {
-			t.Errorf("%s: answered %q, %v", name, answer[:n], err)
+		n, err := sender.conn.Read(reply)
+		if string(reply[:n]) != replyRejected {
+			t.Errorf("%s: reply %q, %v", name, reply[:n], err)
 		}
 	}
 	expectOpenDescriptors(t, before)
 	if len(receiver.sessions) > 0 {
-		t.Errorf("taken: %v", receiver.sessions)
+		t.Errorf("adopted sessions: %v", receiver.sessions)
 	}
 	expectConnected(t, near, far)
 }
--- a/internal/hotrestart/sender.go
+++ b/internal/hotrestart/sender.go
@@ -15,30 +15,31 @@
 	"coralrelay/internal/proxy"
 )
 
-// Sender hands sessions to the process that listens at a name in a directory. It is a
-// proxy.Successor. Once something has failed, it hands over nothing more. Its methods may
-// be called by several goroutines.
+// Sender hands sessions to the process that listens on the socket with a given name in a
+// directory. It implements proxy.Successor. After an I/O error it hands over no more sessions.
+// Its methods are safe for concurrent use.
 type Sender struct {
 	mu   sync.Mutex
-	conn *net.UnixConn // nil once it has failed or is closed
+	conn *net.UnixConn // nil after an I/O error or Close
 }
 
-// Dial connects to the receiver, which must run as the same user.
+// Dial connects to the receiver. It fails if the receiver runs as another user.
 func Dial(dir, name string) (*Sender, error) {
 	s := &Sender{}
 	return s, withSocketAddr(dir, name, func(addr *net.UnixAddr) (err error) {
 		s.conn, err = net.DialUnix(network, nil, addr)
 		if err == nil && !isSameUser(s.conn) {
 			s.Close()
-			err = errors.New("the receiver runs as another user")
+			err = errors.New("receiver runs as another user")
 		}
 		return err
 	})
 }
 
-// Take hands one session over, within a time that counts its wait for others. The session
-// closes its own copies of the connections then. If it is false, the receiver has neither
-// read nor written anything, and never will.
+// Take hands over one session. It takes no longer than transferTimeout, including the wait for
+// other sessions that are handed over. If it returns true, the session closes its copies of the
+// connections. If it returns false, the receiver has neither read from nor written to the
+// connections, and never will.
 func (s *Sender) Take(session proxy.EstablishedSession, downstreamConn, upstreamConn net.Conn) bool {
 	message, err := json.Marshal(session)
 	if err != nil || len(message) > maxMessageBytes {
@@ -51,7 +52,7 @@
 	return s.roundTrip(deadline, offer) == replyPrepared && s.sendCommit()
 }
 
-// writeOffer writes a message with the descriptors of both connections, under the lock.
+// writeOffer sends a message with the descriptors of both connections. The caller holds s.mu.
 func (s *Sender) writeOffer(message []byte, downstreamConn, upstreamConn net.Conn) error {
 	return bufconn.WithDescriptor(downstreamConn, func(downstreamFD int) error {
 		return bufconn.WithDescriptor(upstreamConn, func(upstreamFD int) error {
@@ -61,8 +62,8 @@
 	})
 }
 
-// SendLearnedState passes on what this process has learned. It is called before sessions
-// follow, and takes no longer than one of them may.
+// SendLearnedState sends the state that this process has learned. It is called before the first
+// Take. Like Take, it takes no longer than transferTimeout.
 func (s *Sender) SendLearnedState(state balance.LearnedState) {
 	deadline := time.Now().Add(transferTimeout)
 	s.mu.Lock()
@@ -74,12 +75,12 @@
 		if !s.sendLearnedStateMessage(deadline, &state) || len(remaining) == 0 {
 			return
 		}
-		state = balance.LearnedState{} // all but the servers counts once
+		state = balance.LearnedState{} // only the first message has the fields other than Servers
 	}
 }
 
-// sendLearnedStateMessage sends one message and reports whether the receiver used it, under
-// the lock.
+// sendLearnedStateMessage sends one message and reports whether the receiver applied it. The
+// caller holds s.mu.
 func (s *Sender) sendLearnedStateMessage(deadline time.Time, state *balance.LearnedState) bool {
 	message, err := json.Marshal(learnedStateMessage{state})
 	write := func() error {
@@ -93,8 +94,8 @@
 	return true
 }
 
-// roundTrip has a message written and returns the receiver's reply to it, under the lock;
-// empty if none came in time.
+// roundTrip calls write and returns the receiver's reply, or "" if none arrives before the
+// deadline. The caller holds s.mu.
 func (s *Sender) roundTrip(deadline time.Time, write func() error) string {
 	if s.conn == nil || !time.Now().Before(deadline) {
 		return ""
@@ -103,7 +104,7 @@
 	if err == nil {
 		err = write()
 	}
-	var reply [len(replyRejected)]byte // the longest
+	var reply [len(replyRejected)]byte // the longest reply
 	n := 0
 	if err == nil {
 		n, err = s.conn.Read(reply[:])
@@ -115,9 +116,10 @@
 	return string(reply[:n])
 }
 
-// sendCommit makes the offered session the receiver's, under the lock and before
-// roundTrip's deadline. A message that was written reaches the receiver, who reads all there
-// is before it gives up; one that was not never comes.
+// sendCommit transfers the offered session to the receiver and reports whether it did so. The
+// deadline that roundTrip set still applies, and the caller holds s.mu. If the write succeeds,
+// the commit takes effect, as the receiver reads all pending messages before it aborts. If the
+// write fails, the receiver never gets the commit.
 func (s *Sender) sendCommit() bool {
 	_, err := s.conn.Write([]byte(commitMessage))
 	if err != nil {
@@ -126,14 +128,14 @@
 	return err == nil
 }
 
-// fail closes the connection for good, under the lock.
+// fail closes the connection permanently. The caller holds s.mu.
 func (s *Sender) fail(err error) {
-	slog.Warn("handover failed, the remaining sessions migrate", "component", component, "error", err)
+	slog.Warn("handover failed, remaining sessions are migrated", "component", component, "error", err)
 	_ = s.conn.Close()
 	s.conn = nil
 }
 
-// Close ends the hand-over; sessions that were handed over stay the receiver's.
+// Close closes the connection. Sessions that were handed over stay with the receiver.
 func (s *Sender) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/hotrestart/sender_test.go
+++ b/internal/hotrestart/sender_test.go
@@ -18,8 +18,8 @@
 	"coralrelay/internal/testsocket"
 )
 
-// Both connections are handed over with all that belongs to them, and outlive the sender's
-// copies, also in a directory whose name is too long for an address.
+// A session is handed over with its state and both connections, which stay open after the sender
+// closes its copies. This also works in a directory whose path is too long for a socket address.
 func TestHandsOverSessions(t *testing.T) {
 	for _, dir := range []string{t.TempDir(), filepath.Join(t.TempDir(), strings.Repeat("long", 50))} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -34,7 +34,7 @@
 		for i := range 50 {
 			downstreamConn, client := testsocket.Pair(t)
 			upstreamConn, server := testsocket.Pair(t)
-			_ = downstreamConn.SetNoDelay(false) // whatever it was set to
+			_ = downstreamConn.SetNoDelay(false) // the receiver must set it again
 			session := proxy.EstablishedSession{
 				Request:      proxy.Request{ID: fmt.Sprint("r", i), Class: "feed", Group: "g", Hint: 2, Deadline: time.Now()},
 				Server:       "s1",
@@ -43,7 +43,7 @@
 				PendingSince: time.Now(),
 			}
 			if !sender.Take(session, downstreamConn, upstreamConn) {
-				t.Fatalf("connection %d was not taken", i)
+				t.Fatalf("session %d was not accepted", i)
 			}
 			_ = downstreamConn.Close()
 			_ = upstreamConn.Close()
@@ -66,8 +66,8 @@
 	}
 }
 
-// Learned state of more servers than fit into a message arrives, and what is not of a server
-// counts once; then sessions follow.
+// Learned state of more endpoints than fit into a message is sent completely, with the fields that
+// do not belong to an endpoint only once. Sessions can be handed over afterwards.
 func TestSendsLearnedState(t *testing.T) {
 	dir := t.TempDir()
 	receiver := &fakeReceiver{accepts: true}
@@ -84,7 +84,7 @@
 	downstreamConn, _ := testsocket.Pair(t)
 	upstreamConn, _ := testsocket.Pair(t)
 	if !sender.Take(proxy.EstablishedSession{Server: "s1"}, downstreamConn, upstreamConn) {
-		t.Error("a session was not taken after it")
+		t.Error("a session was not accepted after the learned state")
 	}
 	receiver.mu.Lock()
 	defer receiver.mu.Unlock()
@@ -94,16 +94,16 @@
 			got = learned
 			got.Servers = nil
 		} else if learned.RecentPlacements != 0 || learned.Age != 0 {
-			t.Errorf("message %d has again what counts once: %+v", i, learned)
+			t.Errorf("message %d repeats fields that must be sent once: %+v", i, learned)
 		}
 		got.Servers = append(got.Servers, learned.Servers...)
 	}
 	if !reflect.DeepEqual(got, state) || receiver.learned[len(receiver.learned)-1].MeanLoad != 0.25 {
-		t.Errorf("%d servers arrived of %d, %+v", len(got.Servers), len(state.Servers), receiver.learned[0])
+		t.Errorf("%d of %d servers arrived, %+v", len(got.Servers), len(state.Servers), receiver.learned[0])
 	}
 }
 
-// A session that is not taken, for whatever reason, stays with its sender and works.
+// A session that the receiver does not accept, for any reason, stays connected at the sender.
 func TestRejectedSessionStaysWithSender(t *testing.T) {
 	for name, start := range map[string]func(t *testing.T, dir string){
 		"unwanted": func(t *testing.T, dir string) { startReceiver(t, dir, &fakeReceiver{}) },
@@ -115,7 +115,7 @@
 					return
 				}
 				b, oob := make([]byte, maxMessageBytes), make([]byte, 64)
-				_, _, _, _, _ = conn.ReadMsgUnix(b, oob) // it has them, and does not reply
+				_, _, _, _, _ = conn.ReadMsgUnix(b, oob) // receives the descriptors and does not reply
 				_ = conn.Close()
 			}()
 		},
@@ -126,7 +126,7 @@
 			start(t, dir)
 			sender := dialSender(t, dir)
 			begun := time.Now()
-			for range 3 { // only the first may cost time
+			for range 3 { // only the first may wait for the timeout
 				downstreamConn, client := testsocket.Pair(t)
 				upstreamConn, server := testsocket.Pair(t)
 				if sender.Take(proxy.EstablishedSession{Server: "s1"}, downstreamConn, upstreamConn) {
@@ -136,12 +136,12 @@
 				expectConnected(t, upstreamConn, server)
 			}
 			if took := time.Since(begun); took > 2*transferTimeout {
-				t.Errorf("it took %v", took)
+				t.Errorf("three sessions took %v", took)
 			}
 		})
 	}
 	if sender, err := Dial(t.TempDir(), "node.1"); err == nil {
 		sender.Close()
-		t.Error("there is no receiver")
+		t.Error("Dial succeeded without a receiver")
 	}
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// withSocketAddr calls use with the address of the socket called name in dir. An address
-// must be short, so it names the directory by its descriptor, which is open for the call.
+// withSocketAddr calls use with the address of the socket called name in dir. The length of a
+// socket address is limited, so the address refers to the directory by its descriptor. The
+// address is valid until use returns.
 func withSocketAddr(dir, name string, use func(addr *net.UnixAddr) error) error {
 	directory, err := os.Open(dir)
 	if err != nil {
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// isSameUser reports whether the process at the other end runs as this process's user.
+// isSameUser reports whether the peer process runs as the user of this process.
 func isSameUser(conn *net.UnixConn) (same bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -17,13 +17,13 @@
 	"coralrelay/internal/testsocket"
 )
 
-// The files in testdata/stored are the messages that two versions of the process exchange.
-// They were made, before the fields had tags, by
+// The files in testdata/stored are messages that processes of two versions exchange. They were
+// written, before the fields had struct tags, by
 //
 //	go test ./internal/hotrestart -run TestStored -update
-var update = flag.Bool("update", false, "rewrite testdata/stored by what is written now")
+var update = flag.Bool("update", false, "rewrite testdata/stored with the messages of this version")
 
-// storedSession is what standing.json holds, and storedLearnedState what lesson.json does.
+// storedSession is the content of standing.json, storedLearnedState that of lesson.json.
 var (
 	storedSession = proxy.EstablishedSession{
 		Request: proxy.Request{
@@ -47,7 +47,7 @@
 	}
 )
 
-// stored returns a stored message.
+// stored returns the message in a file of testdata/stored.
 func stored(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "stored", name))
@@ -57,7 +57,7 @@
 	return text
 }
 
-// otherVersionSocket is where another version of the process listens.
+// otherVersionSocket returns the address at which a process of another version listens.
 func otherVersionSocket(dir string) *net.UnixAddr {
 	return &net.UnixAddr{Name: filepath.Join(dir, "handover2-node.1"), Net: "unixpacket"}
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// The sender writes exactly the stored bytes and understands the replies of a receiver of
+// The sender must write exactly the stored bytes and understand the replies of a receiver of
 // another version.
 func TestStoredMessagesAreWritten(t *testing.T) {
 	dir := t.TempDir()
@@ -87,7 +87,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	expectMessage := func(name, answer string) {
+	expectMessage := func(name, reply string) {
 		t.Helper()
 		message := make([]byte, 1<<16)
 		n, err := conn.Read(message)
@@ -102,29 +102,29 @@
 		if want := stored(t, name); string(message[:n]) != string(want) {
 			t.Errorf("written %s\nstored  %s", message[:n], want)
 		}
-		if _, err := conn.Write([]byte(answer)); err != nil {
+		if _, err := conn.Write([]byte(reply)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	downstreamConn, _ := testsocket.Pair(t)
 	upstreamConn, _ := testsocket.Pair(t)
-	took := make(chan bool, 1)
-	for _, answer := range []string{"not taken", "prepared"} {
-		go func() { took <- sender.Take(storedSession, downstreamConn, upstreamConn) }()
-		expectMessage("standing.json", answer)
-		if answer == "prepared" {
+	taken := make(chan bool, 1)
+	for _, reply := range []string{"not taken", "prepared"} {
+		go func() { taken <- sender.Take(storedSession, downstreamConn, upstreamConn) }()
+		expectMessage("standing.json", reply)
+		if reply == "prepared" {
 			expectReply(t, conn, "commit")
 		}
-		if accepted := await(t, took); accepted != (answer == "prepared") {
-			t.Errorf("%s: taken: %v", answer, accepted)
+		if accepted := await(t, taken); accepted != (reply == "prepared") {
+			t.Errorf("reply %q: Take returned %v", reply, accepted)
 		}
 	}
-	go func() { sender.SendLearnedState(storedLearnedState); took <- true }()
+	go func() { sender.SendLearnedState(storedLearnedState); taken <- true }()
 	expectMessage("lesson.json", "taken")
-	await(t, took)
+	await(t, taken)
 }
 
-// The receiver reads the stored bytes to the same values and replies in the words that a sender
+// The receiver must decode the stored bytes to the same values and send the replies that a sender
 // of another version expects.
 func TestStoredMessagesAreRead(t *testing.T) {
 	dir, receiver := t.TempDir(), &fakeReceiver{accepts: true}
@@ -141,7 +141,7 @@
 	for _, m := range []struct {
 		text   []byte
 		rights []byte
-		answer string
+		reply  string
 	}{
 		{stored(t, "standing.json"), rights, "prepared"},
 		{[]byte("commit"), nil, ""},
@@ -151,8 +151,8 @@
 		if _, _, err := conn.WriteMsgUnix(m.text, m.rights, nil); err != nil {
 			t.Fatal(err)
 		}
-		if m.answer != "" {
-			expectReply(t, conn, m.answer)
+		if m.reply != "" {
+			expectReply(t, conn, m.reply)
 		}
 	}
 	session, _, _ := receiver.last()
@@ -165,7 +165,7 @@
 	if len(receiver.learned) != 1 || !reflect.DeepEqual(receiver.learned[0], storedLearnedState) {
 		t.Errorf("learned %+v\nwant %+v", receiver.learned, storedLearnedState)
 	}
-	var again proxy.EstablishedSession // in the stored message both are true
+	var again proxy.EstablishedSession // Retry and Returned are both true in the stored message
 	if err := json.Unmarshal([]byte(`{"Retry":true}`), &again); err != nil || !again.Retry || again.Returned {
 		t.Errorf("read %+v, %v", again, err)
 	}
