--- a/internal/store/metadata.go
+++ b/internal/store/metadata.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// readMetadata sets the store's identity and returns the layout version of the file. The
-// version of an empty file is 0.
+// readMetadata sets the store's identity and returns the layout version of the file, which is 0
+// if the file is empty.
 func (s *Store) readMetadata(tx *Tx, schema Schema) (layout uint64, err error) {
 	metadata := tx.Bucket(metadataBucket)
 	if metadata == nil {
