--- a/internal/hotrestart/helpers_test.go
+++ b/internal/hotrestart/helpers_test.go
@@ -74,8 +74,8 @@
 	end = func() { cancel(); goroutines.Wait() }
 	t.Cleanup(func() {
 		end()
-		if closer, ok := receiver.(interface{ close() }); ok {
-			closer.close()
+		if receiver, ok := receiver.(interface{ close() }); ok {
+			receiver.close()
 		}
 	})
 	return end
