--- a/internal/instancelock/lock.go
+++ b/internal/instancelock/lock.go
@@ -1,16 +1,17 @@
-// Package instancelock lets two processes that are one node, a process and its successor,
-// detect each other: whether the sibling process is alive, whether it serves, and how many
-// sockets it uses.
+// Package instancelock lets the two processes of a node, a process and its successor, detect
+// each other: whether the sibling process is alive, whether it serves, and how many sockets it
+// uses.
 //
-// They share a file. Byte range locks on it (fcntl's open file description locks) say who is
-// alive and who serves, since a lock ends with its process; the file's bytes hold only the
-// counts of sockets. The layout is shared with processes of other versions and does not change:
+// The processes share a file. Byte range locks on it (open file description locks of fcntl)
+// show which process is alive and which serves, as the kernel releases a lock when its process
+// ends. The contents of the file are only the socket counts. Processes of other versions use
+// the same layout, so it does not change:
 //
-//	bytes 0 and 1    locked by the process in that slot while it lives
-//	bytes 2 and 3    locked by it while it serves
-//	bytes 8 and 16   each slot's count of sockets, 8 bytes, little endian
+//	bytes 0 and 1    locked by the process in slot 0 or 1 while it is alive
+//	bytes 2 and 3    locked by the process in slot 0 or 1 while it serves
+//	bytes 8 and 16   start of the socket count of slot 0 or 1: 8 bytes, little endian
 //
-// The package starts no goroutines, and none of its calls but Acquire waits.
+// The package starts no goroutines. Only Acquire waits.
 package instancelock
 
 import (
@@ -27,34 +28,34 @@
 )
 
 const (
-	// slotCount is how many processes of a node may be alive at once.
+	// slotCount is the number of processes of a node that may be alive at the same time.
 	slotCount = 2
 	// retryInterval is the pause between two attempts to lock a slot.
 	retryInterval = 20 * time.Millisecond
-	// countBytes is the size of a count of sockets in the file.
+	// countBytes is the size of a socket count in the file.
 	countBytes = 8
-	// maxSocketCount bounds what is believed of the sibling's count, whatever the file says.
+	// maxSocketCount bounds the sibling's count, as the file may contain any value.
 	maxSocketCount = 1 << 20
-	// fileMode keeps other users out.
+	// fileMode denies access to other users.
 	fileMode = 0o600
 )
 
-// ErrNoFreeSlot is returned where two processes of the node are alive already.
+// ErrNoFreeSlot means that two processes of the node are alive already.
 var ErrNoFreeSlot = errors.New("two processes of this node are alive already")
 
-// Lock is a process's slot: a lock on a byte of a file that both processes share. What an
-// earlier process left in the file counts for nothing: only a lock, which ends with its
-// process, does. A nil Lock is that of a process which shares with nobody; of its methods
-// Name and SiblingName may not be called. They may be called by several goroutines.
+// Lock is the slot of a process: a lock on a byte of the file that both processes share. Data
+// that an ended process left in the file is ignored, as only a process that is alive holds a
+// lock. A nil Lock is that of a process without a sibling; Name and SiblingName must not be
+// called on it. The methods are safe for concurrent use.
 type Lock struct {
 	file     *os.File
 	baseName string
 	slot     int64
 }
 
-// Acquire locks a slot of the node that listens at an address, in dir, and waits for one
-// until the deadline: the last process but one may still be ending. If none becomes free,
-// the error is an ErrNoFreeSlot.
+// Acquire locks a slot of the node that listens at the given address. The file is in dir. If
+// both slots are taken, Acquire waits until the deadline, as the process before the sibling may
+// still be ending. If no slot becomes free, the error wraps ErrNoFreeSlot.
 func Acquire(dir, listen string, deadline time.Time) (*Lock, error) {
 	name := "coralrelay-" + strings.NewReplacer(":", "-", "/", "-", "[", "", "]", "", "%", "-").Replace(listen)
 	path := filepath.Join(dir, name)
@@ -78,8 +79,8 @@
 	}
 }
 
-// openShared opens or creates the file, which must be a regular one of this user's: dir may
-// be open to others, who could have put something else there.
+// openShared opens or creates the file. The file must be a regular file of this user: other
+// users may have write access to dir and could have created something else there.
 func openShared(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|unix.O_NONBLOCK|unix.O_NOFOLLOW, fileMode)
 	if err != nil {
@@ -93,16 +94,16 @@
 	return file, nil
 }
 
-// lockRange is one byte of the file: the first slotCount bytes stand for the processes that
-// are alive, those behind them for the processes that serve.
+// lockRange returns the lock description of one byte of the file. The first slotCount bytes are
+// locked by the processes that are alive, the next slotCount bytes by those that serve.
 func lockRange(kind int16, start int64) *unix.Flock_t {
 	return &unix.Flock_t{Type: kind, Start: start, Len: 1}
 }
 
-// servingByte is locked by the process in a slot while it serves.
+// servingByte returns the offset of the byte that the process in a slot locks while it serves.
 func servingByte(slot int64) int64 { return slotCount + slot }
 
-// socketCountOffset is where a slot's count stands, behind all the bytes that are locked.
+// socketCountOffset returns the offset of a slot's socket count, which is after all locked bytes.
 func socketCountOffset(slot int64) int64 { return countBytes * (1 + slot) }
 
 func (l *Lock) siblingSlot() int64 { return 1 - l.slot }
@@ -110,13 +111,14 @@
 func (l *Lock) writeSocketCount(sockets int) {
 	var count [countBytes]byte
 	binary.LittleEndian.PutUint64(count[:], uint64(sockets))
-	_, _ = l.file.WriteAt(count[:], socketCountOffset(l.slot)) // a full disk must not end the node
+	// An error is ignored, as a full disk must not end the node.
+	_, _ = l.file.WriteAt(count[:], socketCountOffset(l.slot))
 }
 
-// Name is this process's in the shared directory.
+// Name returns the name of this process in the shared directory.
 func (l *Lock) Name() string { return fmt.Sprintf("%s.%d", l.baseName, l.slot) }
 
-// SiblingName is the sibling process's in the shared directory.
+// SiblingName returns the name of the sibling process in the shared directory.
 func (l *Lock) SiblingName() string { return fmt.Sprintf("%s.%d", l.baseName, l.siblingSlot()) }
 
 // IsSiblingAlive reports whether the sibling process is alive.
@@ -130,9 +132,10 @@
 	return unix.FcntlFlock(l.file.Fd(), unix.F_OFD_GETLK, query) == nil && query.Type != unix.F_UNLCK
 }
 
-// SetServing shows the sibling process whether this one serves, for as long as it is alive.
-// A process that drains calls it before it asks IsSiblingServing: then of two that drain at
-// once at least one sees that the other does, and the clients are never left to nobody.
+// SetServing publishes whether this process serves. The state ends with the process. A draining
+// process must call SetServing(false) before IsSiblingServing: if both processes drain at the
+// same time, at least one of them then sees that the other no longer serves, so that clients
+// are never left without a serving process.
 func (l *Lock) SetServing(serving bool) {
 	if l == nil {
 		return
@@ -141,16 +144,18 @@
 	if serving {
 		kind = unix.F_WRLCK
 	}
-	_ = unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, lockRange(kind, servingByte(l.slot))) // nobody else asks for it
+	// The lock cannot conflict, as no other process locks this slot's byte.
+	_ = unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, lockRange(kind, servingByte(l.slot)))
 }
 
-// IsSiblingServing reports whether the sibling process serves, so that this one need not.
+// IsSiblingServing reports whether the sibling process serves. If it does, this process does not
+// have to.
 func (l *Lock) IsSiblingServing() bool {
 	return l != nil && l.isLockedByOther(servingByte(l.siblingSlot()))
 }
 
-// ExchangeSocketCounts writes how many sockets this process uses, and returns how many the
-// sibling process does, if it is alive.
+// ExchangeSocketCounts stores the number of sockets that this process uses. It returns the
+// number that the sibling process uses, and whether the sibling is alive.
 func (l *Lock) ExchangeSocketCounts(own int) (sibling int, alive bool) {
 	if l == nil {
 		return 0, false
@@ -166,7 +171,7 @@
 	return int(min(binary.LittleEndian.Uint64(count[:]), maxSocketCount)), true
 }
 
-// Close gives the slot up.
+// Close releases the slot.
 func (l *Lock) Close() {
 	if l != nil {
 		_ = l.file.Close()
--- a/internal/instancelock/lock_test.go
+++ b/internal/instancelock/lock_test.go
@@ -24,8 +24,8 @@
 	return n
 }
 
-// Two processes detect each other, each other's sockets, and an end at once; whatever an
-// earlier process left in the file counts for nothing.
+// Two processes detect each other, each other's socket counts, and the end of the other at once.
+// Data that an earlier process left in the file has no effect.
 func TestProcessesDetectEachOther(t *testing.T) {
 	for name, previous := range map[string]string{"no file": "", "garbage": strings.Repeat("\xff", 28)} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			}
 			first := acquire(t, dir)
 			if first.IsSiblingAlive() || siblingSockets(first, 100) != 0 {
-				t.Error("a single process detects another")
+				t.Error("a single process detects a sibling")
 			}
 			second := acquire(t, dir)
 			if sockets := siblingSockets(second, 7); !second.IsSiblingAlive() || sockets != 100 {
@@ -47,62 +47,62 @@
 				t.Errorf("the first process detects %d sockets", sockets)
 			}
 			if _, err := Acquire(dir, "[::1]:7070", time.Now().Add(3*retryInterval)); !errors.Is(err, ErrNoFreeSlot) {
-				t.Errorf("a third: %v", err)
+				t.Errorf("Acquire by a third process: %v, want ErrNoFreeSlot", err)
 			}
 			first.Close()
 			if second.IsSiblingAlive() || siblingSockets(second, 1) != 0 {
 				t.Error("the end of the first process is not detected")
 			}
-			acquire(t, dir) // its slot is free
+			acquire(t, dir) // the slot of the first process is free again
 		})
 	}
 }
 
-// That the sibling process serves ends when it says so or ends itself, and of two that drain
-// at once each, or one, detects that the other does.
+// A process counts as serving until it clears the state or ends. If both processes drain at the
+// same time, they detect it, and a new process does not inherit the state of an earlier one.
 func TestServingStateEndsWithItsProcess(t *testing.T) {
 	dir := t.TempDir()
 	first, second := acquire(t, dir), acquire(t, dir)
 	first.SetServing(true)
 	if first.IsSiblingServing() || !second.IsSiblingServing() {
-		t.Error("sibling not ready yet")
+		t.Error("only the first process serves, but the processes do not detect this")
 	}
 	second.SetServing(true)
 	if !first.IsSiblingServing() || !second.IsSiblingServing() {
-		t.Error("sibling serves")
+		t.Error("both processes serve, but do not detect this")
 	}
 	first.SetServing(false)
 	second.SetServing(false)
 	if first.IsSiblingServing() || second.IsSiblingServing() {
-		t.Error("both drain")
+		t.Error("both processes drain, but one detects the other as serving")
 	}
 	second.SetServing(true)
 	second.Close()
 	if first.IsSiblingAlive() || first.IsSiblingServing() {
-		t.Error("sibling has ended")
+		t.Error("the sibling has ended, but is detected as alive or serving")
 	}
 	if third := acquire(t, dir); first.IsSiblingServing() || !first.IsSiblingAlive() {
-		t.Errorf("%s inherits the state of the process before", third.Name())
+		t.Errorf("%s is not detected as alive, or inherits the state of an earlier process", third.Name())
 	}
 }
 
-// A directory in the file's place is an error; a nil Lock is that of a process which shares with
-// nobody.
+// Acquire fails if a directory has the name of the file. A nil Lock is that of a process without a
+// sibling.
 func TestRejectsDirectoryAndAllowsNilLock(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "coralrelay---1-7070"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Acquire(dir, "[::1]:7070", time.Time{}); err == nil {
-		t.Error("a directory passes for the file")
+		t.Error("Acquire accepted a directory")
 	}
 	var none *Lock
 	if none.IsSiblingAlive() || siblingSockets(none, 3) != 0 {
-		t.Error("a process that shares with nobody detects another")
+		t.Error("a nil lock detects a sibling")
 	}
 	none.SetServing(true)
 	if none.IsSiblingServing() {
-		t.Error("a process that shares with nobody has a serving sibling")
+		t.Error("a nil lock has a serving sibling")
 	}
 	none.Close()
 }
--- a/internal/instancelock/stored_test.go
+++ b/internal/instancelock/stored_test.go
@@ -10,13 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-var update = flag.Bool("update", false, "rewrite testdata/stored by what is written now")
+var update = flag.Bool("update", false, "rewrite testdata/stored with the file of this version")
 
-// testdata/stored holds the file that two processes share, under its real name. It was made by
+// Two processes must write exactly the bytes of the file in testdata/stored, which has the name
+// that Acquire gives it. It was written by
 //
 //	go test ./internal/instancelock -run TestStored -update
-//
-// Two processes write exactly these bytes.
 func TestStoredFileIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	first, second := acquire(t, dir), acquire(t, dir)
@@ -45,8 +44,8 @@
 	return b
 }
 
-// A process of another version, which wrote the stored file and locks the same byte ranges,
-// is detected, and detects the locks of this one.
+// A process of another version that wrote the stored file and locks the same byte ranges must be
+// detected, and must detect the locks of this process.
 func TestStoredFileIsRead(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "coralrelay---1-7070")
@@ -65,7 +64,7 @@
 		}
 		return l
 	}
-	fcntl(unix.F_OFD_SETLK, unix.F_WRLCK, 1) // the second slot
+	fcntl(unix.F_OFD_SETLK, unix.F_WRLCK, 1) // the other process is alive in slot 1
 	lock := acquire(t, dir)
 	if lock.Name() != "coralrelay---1-7070.0" || lock.SiblingName() != "coralrelay---1-7070.1" {
 		t.Errorf("this process is %s, the sibling %s", lock.Name(), lock.SiblingName())
@@ -76,7 +75,7 @@
 	if lock.IsSiblingServing() {
 		t.Error("a sibling that does not serve is detected as serving")
 	}
-	fcntl(unix.F_OFD_SETLK, unix.F_WRLCK, 3) // it serves
+	fcntl(unix.F_OFD_SETLK, unix.F_WRLCK, 3) // the other process serves
 	if !lock.IsSiblingServing() {
 		t.Error("a sibling that serves is not detected")
 	}
