--- a/cmd/coralrelay/udp.go
+++ b/cmd/coralrelay/udp.go
@@ -62,14 +62,14 @@
 		Deadline:      class.Deadline,
 		Sockets:       options.Sockets,
 		SharedSockets: options.Mode == "shared",
-		ProxyHeader:   options.ProxyHeader,
+		ProxyHeader:   options.SendProxyHeader,
 		Table: flowtable.Options{
 			Entries:          options.MaxFlows,
-			IdleTimeout:      options.IdleTimeout.Duration,
+			IdleTimeout:      options.FlowIdleTimeout.Duration,
 			Policy:           flowPolicies[options.Policy],
-			ReservedShare:    options.ReservedShare,
-			SettledDatagrams: options.SettledDatagrams,
-			SettledAge:       options.SettledAge.Duration,
+			ReservedShare:    options.Reserve,
+			SettledDatagrams: options.MinSettledDatagrams,
+			SettledAge:       options.After.Duration,
 		},
 		Sources: flowtable.SourceOptions{
 			Slots: options.Sources.Slots,
@@ -78,12 +78,14 @@
 		},
 		FlowQueue:   flowtable.QueueLimit{Count: options.Queue.Flow, Bytes: options.Queue.FlowBytes},
 		QueueBudget: flowtable.QueueBudget{Count: options.Queue.Total, Bytes: options.Queue.TotalBytes},
-		NewFlows:    flowtable.Pacer{Rate: options.NewFlows.Rate, Burst: options.NewFlows.Burst, NewestFirst: true},
+		NewFlows: flowtable.Pacer{
+			Rate: options.NewFlowRate.Rate, Burst: options.NewFlowRate.Burst, NewestFirst: true,
+		},
 		Silence: flowtable.SilenceOptions{
 			After:     options.Silence.After.Duration,
 			Datagrams: options.Silence.Datagrams,
 		},
 		Echo:          options.Silence.Echo,
-		ReplacedFlows: flowtable.Pacer{Rate: options.ReplacedFlows.Rate, Burst: options.ReplacedFlows.Burst},
+		ReplacedFlows: flowtable.Pacer{Rate: options.ReplacedFlowRate.Rate, Burst: options.ReplacedFlowRate.Burst},
 	}
 }
--- a/internal/scenario/udp/flood.go
+++ b/internal/scenario/udp/flood.go
@@ -72,7 +72,7 @@
 	defer cancel()
 	var steady steadyFlows
 	steady.start(ctx, &wg, r.config.Listen, r.Steady)
-	fake.Sleep(ctx, arrivals+2*r.config.SettledAge.Duration+time.Second)
+	fake.Sleep(ctx, arrivals+2*r.config.After.Duration+time.Second)
 
 	alone := steady.answeredShare(ctx)
 	r.SetMetric("steady answered alone", alone)
--- a/internal/scenario/udp/measure.go
+++ b/internal/scenario/udp/measure.go
@@ -93,7 +93,7 @@
 	config := operatorconfig.Default()
 	config.UDP.Listen = listen
 	config.UDP.Mode = m.forwarder.mode
-	config.UDP.ProxyHeader = m.forwarder.proxy
+	config.UDP.SendProxyHeader = m.forwarder.proxy
 	node, err := testbed.NewNode(testbed.NodeOptions{
 		Binary:         m.Binary,
 		Name:           nodeName,
--- a/internal/scenario/udp/udp.go
+++ b/internal/scenario/udp/udp.go
@@ -167,15 +167,15 @@
 	}
 	config.MaxFlows = r.Table
 	config.Sockets = r.Table
-	config.IdleTimeout.Duration = flowTimeout
+	config.FlowIdleTimeout.Duration = flowTimeout
 	if r.Shared || r.Mutation == mutationStale {
 		config.Mode = "shared"
-		config.ProxyHeader = true
+		config.SendProxyHeader = true
 	}
 	config.Silence.After.Duration = 500 * time.Millisecond
-	config.ReservedShare = 0.5
-	config.SettledDatagrams = 2
-	config.SettledAge.Duration = 10 * time.Millisecond
+	config.Reserve = 0.5
+	config.MinSettledDatagrams = 2
+	config.After.Duration = 10 * time.Millisecond
 	return nil
 }
 
