--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Fleet configures what nodes share through the agent beside each (coralagent).
+// Fleet configures the state that nodes share through their agents (coralagent).
 type Fleet struct {
-	AgentAddr       string        `json:"agent"`     // where the agent answers its node; empty for off
-	Name            string        `json:"name"`      // of the member, unique
+	AgentAddr       string        `json:"agent"`     // where the agent serves its node; empty for no agent
+	Name            string        `json:"name"`      // of this member; unique in the fleet
 	Bind            string        `json:"bind"`      // IP:PORT for gossip, TCP and UDP
-	Advertise       string        `json:"advertise"` // where the others reach it, if elsewhere
+	Advertise       string        `json:"advertise"` // where other members reach it, if not at Bind
 	Peers           []string      `json:"peers"`     // addresses of some other members
-	KeyFile         string        `json:"key"`       // file with the key that all members have
-	GossipInterval  Duration      `json:"interval"`  // of gossip
-	QuotaPeriod     Duration      `json:"epoch"`     // the quota period of a cold endpoint, as the settings' tipAfter
-	HolderTimeout   Duration      `json:"hold"`      // a silent member keeps its part of the quota so long
-	ReportTTL       Duration      `json:"fresh"`     // outlier reports and retry counts are valid so long
-	RetryRatio      float64       `json:"retries"`   // allowed for each first attempt
-	MaxEjectedShare float64       `json:"shun"`      // share of endpoints that are ejected at most
+	KeyFile         string        `json:"key"`       // file with the gossip key, the same on all members
+	GossipInterval  Duration      `json:"interval"`  // time between two rounds of gossip
+	QuotaPeriod     Duration      `json:"epoch"`     // quota period when cold, as the settings' tipAfter
+	HolderTimeout   Duration      `json:"hold"`      // how long a silent member keeps its share of the quotas
+	ReportTTL       Duration      `json:"fresh"`     // validity period of outlier reports and retry counts
+	RetryRatio      float64       `json:"retries"`   // retries allowed per first attempt, over all nodes
+	MaxEjectedShare float64       `json:"shun"`      // maximum share of endpoints that are ejected
 	Zone            string        `json:"zone"`      // of this member; empty for none
 	ReplicatedLog   ReplicatedLog `json:"record"`
 	Zones           Zones         `json:"zones"`
@@ -46,25 +46,27 @@
 	return err == nil
 }
 
-func (l *Fleet) check(c *checker) {
-	on := l.AgentAddr != ""
-	c.rejectIf(on && !isHostPort(l.AgentAddr), "fleet.agent", l.AgentAddr, "HOST:PORT")
-	c.rejectIf(on && (l.Name == "" || len(l.Name) > 64), "fleet.name", l.Name, "1 to 64 bytes, as fleet.agent is set")
-	c.rejectIf(on && !isIPPort(l.Bind), "fleet.bind", l.Bind, "IP:PORT, as fleet.agent is set")
-	c.rejectIf(l.Advertise != "" && !isIPPort(l.Advertise), "fleet.advertise", l.Advertise, "IP:PORT")
-	c.rejectIf(on && l.KeyFile == "", "fleet.key", l.KeyFile, "a key file, as fleet.agent is set")
-	for _, p := range l.Peers {
-		c.rejectIf(!isIPPort(p), "fleet.peers", p, "IP:PORT")
+func (f *Fleet) check(c *checker) {
+	enabled := f.AgentAddr != ""
+	c.rejectIf(enabled && !isHostPort(f.AgentAddr), "fleet.agent", f.AgentAddr, "HOST:PORT")
+	c.rejectIf(enabled && (f.Name == "" || len(f.Name) > 64), "fleet.name", f.Name,
+		"1 to 64 bytes, as fleet.agent is set")
+	c.rejectIf(enabled && !isIPPort(f.Bind), "fleet.bind", f.Bind, "IP:PORT, as fleet.agent is set")
+	c.rejectIf(f.Advertise != "" && !isIPPort(f.Advertise), "fleet.advertise", f.Advertise, "IP:PORT")
+	c.rejectIf(enabled && f.KeyFile == "", "fleet.key", f.KeyFile, "a key file, as fleet.agent is set")
+	for _, peer := range f.Peers {
+		c.rejectIf(!isIPPort(peer), "fleet.peers", peer, "IP:PORT")
 	}
-	c.duration("fleet.interval", l.GossipInterval, 20*time.Millisecond, 5*time.Second)
-	c.duration("fleet.epoch", l.QuotaPeriod, 200*time.Millisecond, time.Minute)
-	c.duration("fleet.hold", l.HolderTimeout, l.QuotaPeriod.Duration, time.Hour)
-	c.duration("fleet.fresh", l.ReportTTL, 200*time.Millisecond, time.Minute)
-	c.number("fleet.retries", l.RetryRatio, 0, 10)
-	c.number("fleet.shun", l.MaxEjectedShare, 0, 1)
-	c.rejectIf(l.Zone != "" && !isWord(l.Zone, maxZoneNameBytes), "fleet.zone", l.Zone, "1 to 24 bytes without blanks")
-	l.ReplicatedLog.check(c, l)
-	l.Zones.check(c, l)
-	l.Accounts.check(c, l)
-	l.SLO.check(c, l)
+	c.duration("fleet.interval", f.GossipInterval, 20*time.Millisecond, 5*time.Second)
+	c.duration("fleet.epoch", f.QuotaPeriod, 200*time.Millisecond, time.Minute)
+	c.duration("fleet.hold", f.HolderTimeout, f.QuotaPeriod.Duration, time.Hour)
+	c.duration("fleet.fresh", f.ReportTTL, 200*time.Millisecond, time.Minute)
+	c.number("fleet.retries", f.RetryRatio, 0, 10)
+	c.number("fleet.shun", f.MaxEjectedShare, 0, 1)
+	c.rejectIf(f.Zone != "" && !isWord(f.Zone, maxZoneNameBytes), "fleet.zone", f.Zone,
+		"1 to 24 bytes without blanks")
+	f.ReplicatedLog.check(c, f)
+	f.Zones.check(c, f)
+	f.Accounts.check(c, f)
+	f.SLO.check(c, f)
 }
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// maxFileBytes bounds the file.
+// maxFileBytes is the maximum size of the file.
 const maxFileBytes = 1 << 20
 
-// Load reads and checks the file at path. JSON is read here; for a CUE file coralctl beside
-// this program is started, which ends before Load returns.
+// Load reads and checks the file at path. It decodes JSON itself. For a CUE file it runs coralctl,
+// from the directory of this program, which ends before Load returns.
 func Load(path string) (File, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -45,68 +45,68 @@
 	defer func() { _ = f.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err == nil && len(raw) > maxFileBytes {
-		err = fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
+		err = fmt.Errorf("%s: file is larger than %d bytes", path, maxFileBytes)
 	}
 	return raw, err
 }
 
-// Parse decodes and checks JSON. Keys that it does not have keep their defaults; an unknown
-// key is an error.
+// Parse decodes and checks JSON. Missing keys keep their defaults. An unknown key is an error.
 func Parse(raw []byte) (File, error) {
 	f := Default()
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return File{}, KeyError{wrong.Field, wrong.Value, wrong.Type.String()}
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&f); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return File{}, KeyError{typeError.Field, typeError.Value, typeError.Type.String()}
 		}
 		return File{}, err
 	}
-	if _, err := d.Token(); err != io.EOF {
-		return File{}, errors.New("more than one record")
+	if _, err := decoder.Token(); err != io.EOF {
+		return File{}, errors.New("more than one JSON record")
 	}
 	return f, f.Check()
 }
 
-// exportTimeout bounds the run of the helper that reads CUE.
+// exportTimeout bounds the run time of coralctl.
 const exportTimeout = 20 * time.Second
 
-// exportCUE runs coralctl to turn a CUE file into JSON. CUE takes megabytes; the helper has
-// ended before the node serves.
+// exportCUE runs coralctl to convert a CUE file to JSON. The CUE library takes megabytes of
+// memory, so that it runs in another process, which ends before the node serves.
 func exportCUE(path string) ([]byte, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	helper := filepath.Join(filepath.Dir(self), "coralctl")
-	if _, err := os.Stat(helper); err != nil {
-		return nil, fmt.Errorf("%s needs coralctl beside the node, or give the JSON that 'coralctl export' prints: %w", path, err)
+	coralctl := filepath.Join(filepath.Dir(self), "coralctl")
+	if _, err := os.Stat(coralctl); err != nil {
+		return nil, fmt.Errorf("%s needs coralctl beside the node, or use the output of 'coralctl export': %w",
+			path, err)
 	}
-	var out, complaint bytes.Buffer
-	c := exec.Command(helper, "export", path)
-	c.Stdout, c.Stderr, c.WaitDelay = &out, &complaint, time.Second
-	if err := c.Start(); err != nil {
+	var stdout, stderr bytes.Buffer
+	command := exec.Command(coralctl, "export", path)
+	command.Stdout, command.Stderr, command.WaitDelay = &stdout, &stderr, time.Second
+	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	timer := time.AfterFunc(exportTimeout, func() { _ = c.Process.Kill() })
+	timer := time.AfterFunc(exportTimeout, func() { _ = command.Process.Kill() })
 	defer timer.Stop()
-	if err := c.Wait(); err != nil {
-		return nil, fmt.Errorf("%s", strings.TrimSpace(complaint.String()+" "+err.Error()))
+	if err := command.Wait(); err != nil {
+		return nil, fmt.Errorf("%s", strings.TrimSpace(stderr.String()+" "+err.Error()))
 	}
-	return out.Bytes(), nil
+	return stdout.Bytes(), nil
 }
 
-// ChangedRestartKeys returns the keys that differ between f and next and need a restart,
-// sorted.
+// ChangedRestartKeys returns the sorted keys that differ between f and next and whose change needs
+// a restart.
 func (f *File) ChangedRestartKeys(next *File) (keys []string) {
-	for key, same := range map[string]bool{
+	for key, unchanged := range map[string]bool{
 		"log.format": f.Log.Format == next.Log.Format, "resume.enabled": f.Resume.Enabled == next.Resume.Enabled,
 		"udp":           f.UDP == next.UDP,
 		"fleet":         reflect.DeepEqual(f.Fleet, next.Fleet),
 		"resume.ledger": reflect.DeepEqual(f.Resume.ReplayGuard, next.Resume.ReplayGuard),
 	} {
-		if !same {
+		if !unchanged {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Without the helper beside it the node says what to do.
+// If coralctl is not in the node's directory, the error must name it.
 func TestCUEFileWithoutCoralctlIsError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "own.cue")
 	if err := os.WriteFile(path, []byte("log: {}"), 0o600); err != nil {
@@ -46,7 +46,7 @@
 	a, b := Default(), Default()
 	b.Log.Level, b.Resume.TokenTTL.Duration = "debug", 1
 	if keys := a.ChangedRestartKeys(&b); keys != nil {
-		t.Errorf("these can change: %q", keys)
+		t.Errorf("keys that can be changed while running need a restart: %q", keys)
 	}
 	b.Log.Format, b.Resume.ReplayGuard.Dir = "json", "x"
 	if keys := a.ChangedRestartKeys(&b); !slices.Equal(keys, []string{"log.format", "resume.ledger"}) {
--- a/internal/operatorconfig/schema/operator.cue
+++ b/internal/operatorconfig/schema/operator.cue
@@ -1,5 +1,5 @@
-// The operator's file: every key, its type, its bounds and its default. A file
-// that gives only what differs is complete.
+// The schema of the operator's file: all keys with their types, bounds and defaults.
+// A file needs only the keys that differ from the defaults.
 
 #Duration: string & =~"^([0-9]+(\\.[0-9]+)?(ns|us|ms|s|m|h))+$" | "0"
 #Address:  =~"^[^ :]*:[0-9]+$"
@@ -7,31 +7,31 @@
 #Zone:     =~"^[^ \\t]{1,24}$"
 
 log: {
-	// debug, info, warn or error; can change while the node runs
+	// minimum level of log lines: debug, info, warn or error; can be changed while the node runs
 	level: "debug" | *"info" | "warn" | "error"
-	// how lines are written to standard error
+	// format of the log lines on standard error
 	format: *"text" | "json"
 }
 
 resume: {
-	// moved connections carry a token with which their clients go on
+	// clients whose connections are migrated get a token with which they resume their sessions
 	enabled: bool | *false
-	// folder of key files, from 'coralctl key new'; read again on SIGHUP
+	// directory of key files, created by 'coralctl key new'; reloaded on SIGHUP
 	keys: string | *""
-	// how long a token is good for: 1s to 24h
+	// validity period of a token: 1s to 24h
 	life: #Duration | *"1m"
-	// by how much nodes' clocks may differ: up to 1m
+	// maximum difference between the clocks of nodes: up to 1m
 	skew: #Duration | *"5s"
-	// how long an arbiter may take before a client gets a snapshot: 1ms to 5s
+	// time-out for the answer of an arbiter, after which the client gets a snapshot: 1ms to 5s
 	wait: #Duration | *"150ms"
 	ledger: {
-		// folder of the record of spent tokens; empty keeps it in memory
+		// directory of the record of spent tokens; empty keeps the record in memory
 		dir: string | *""
-		// spent tokens remembered at most
+		// maximum number of spent tokens in the record
 		records: int & >=1 & <=100_000_000 | *1_000_000
-		// where other nodes ask; empty for nowhere
+		// address at which other nodes query this record; empty for none
 		listen: #Address | *""
-		// other nodes' ledgers, by their names
+		// addresses of other nodes' records, by node name
 		peers: {[#Name]: #Address} | *{}
 	}
 	if enabled {
@@ -40,56 +40,56 @@
 }
 
 udp: {
-	// one address for datagrams; empty for off
+	// address for datagrams; empty disables UDP
 	listen: #Address | *""
-	// of the settings' classes; empty for the first
+	// class of the flows, as in the settings; empty for the first class
 	class: string | *""
-	// flows in the table
+	// maximum number of flows in the flow table
 	flows: int & >=1 & <=67_108_864 | *10_000
-	// a flow silent for so long is forgotten: 100ms to 24h
+	// a flow without datagrams for this time expires: 100ms to 24h
 	idle: #Duration | *"30s"
-	// who gives way in a full table: the oldest flow that has not settled, nobody, or the flow silent longest
+	// when the table is full: evict the oldest unsettled flow, reject the new flow, or evict the flow that has been idle longest
 	policy: *"reserve" | "refuse" | "idle"
-	// share of the table that settled flows alone may use
+	// share of the table that only settled flows may use, with the policy reserve
 	reserve: number & >=0 & <=1 | *0.5
-	// a flow has settled after so many datagrams
+	// a flow is settled after this number of datagrams
 	settled: int & >=1 & <=1_048_576 | *3
-	// over at least so long: up to 1h
+	// and at this age at least: up to 1h
 	after: #Duration | *"1s"
-	// a socket for each flow, or one for each next hop that its flows share: then only next hops that repeat the PROXY header can answer
+	// one socket per flow, or one per endpoint that its flows share; with shared sockets only endpoints that repeat the PROXY header can answer
 	mode: *"flow" | "shared"
-	// to next hops at once, taken from limits.sockets
+	// maximum number of sockets to endpoints, deducted from limits.sockets
 	sockets: int & >=1 & <=1_048_576 | *256
-	// a PROXY v2 header before each datagram to next hops
+	// put a PROXY v2 header before each datagram to endpoints
 	proxy: bool | *false
-	// datagrams that wait for a decision: of one flow, and of all together
+	// limits of the datagrams that wait for the placement of their flow: per flow and in total
 	queue: {
 		flow:       int & >=1 & <=65_536 | *8
 		flow_bytes: int & >=1 & <=67_108_864 | *16_384
 		all:        int & >=1 & <=16_777_216 | *4096
 		all_bytes:  int & >=1 & <=1_073_741_824 | *4_194_304
 	}
-	// when a next hop counts as silent, and its flows go elsewhere
+	// conditions under which an endpoint counts as silent, so that its flows are moved to other endpoints
 	silence: {
-		// nothing was heard of it for so long: up to 1h; 0s for never
+		// no datagram was received from it for this time: up to 1h; 0s disables the rule
 		after: #Duration | *"3s"
-		// and so many datagrams were not answered, where it used to answer; 0 to go by health alone
+		// and this number of datagrams is unanswered, if it used to answer; 0 ignores unanswered datagrams and uses health checks alone
 		datagrams: int & >=0 & <=1_048_576 | *20
-		// a datagram that next hops answer, to ask for their health; empty for their probes
+		// health check datagram that endpoints answer; empty uses the results of their load probes
 		echo: string & =~"^.{0,1024}$" | *""
 	}
-	// new flows of one source: a second, at once, and slots of what counts them
+	// limit of new flows per source: rate per second, burst, and number of token buckets
 	sources: {
 		rate:  number & >=0 & <=1e9 | *100
 		burst: number & >=1 & <=1e9 | *200
 		slots: int & >=2 & <=67_108_864 | *65_536
 	}
-	// new flows placed: a second, and at once
+	// limit of placements of new flows: rate per second and burst
 	new: {
 		rate:  number & >=1 & <=1e9 | *10_000
 		burst: number & >=1 & <=1e9 | *1000
 	}
-	// flows placed again after the loss of their next hop: a second, and at once
+	// limit of placements of flows that have lost their endpoint: rate per second and burst
 	again: {
 		rate:  number & >=1 & <=1e9 | *2000
 		burst: number & >=1 & <=1e9 | *200
@@ -97,130 +97,130 @@
 }
 
 fleet: {
-	// where the agent beside this node (coralagent) answers it; empty for off
+	// address at which this node's agent (coralagent) serves it; empty for no agent
 	agent: #Address | *""
-	// of the member; no other may have it
+	// name of this member; must be unique in the fleet
 	name: string & =~"^.{0,64}$" | *""
-	// for gossip, TCP and UDP
+	// address for gossip, TCP and UDP
 	bind: #Address | *""
-	// where the others reach it, if elsewhere
+	// address at which other members reach it, if different from bind
 	advertise: #Address | *""
-	// some other members
+	// addresses of some other members
 	peers: [...#Address] | *[]
-	// file with 32, 48 or 64 hexadecimal digits, the same at all members
+	// file with the gossip key, 32, 48 or 64 hexadecimal digits; the same on all members
 	key: string | *""
-	// of gossip: 20ms to 5s
+	// gossip interval: 20ms to 5s
 	interval: #Duration | *"100ms"
-	// a cold next hop's window, as the settings' tipAfter: 200ms to 1m
+	// quota period of a cold endpoint, as the settings' tipAfter: 200ms to 1m
 	epoch: #Duration | *"1500ms"
-	// who has gone silent keeps his part for so long: the epoch to 1h
+	// a silent member keeps its share of the quotas for this time: epoch to 1h
 	hold: #Duration | *"30s"
-	// accusations and counts of retries count for so long: 200ms to 1m
+	// validity period of outlier reports and retry counts: 200ms to 1m
 	fresh: #Duration | *"3s"
-	// allowed for each first try, by all nodes together
+	// retries allowed per first attempt, over all nodes
 	retries: number & >=0 & <=10 | *0.2
-	// share of the next hops that verdicts cover at most
+	// maximum share of the endpoints that are ejected as outliers
 	shun: number & >=0 & <=1 | *0.25
-	// where this member stands; empty for nowhere
+	// zone of this member; empty for none
 	zone: #Zone | *""
-	// the log that all members hold alike; off without voters
+	// the replicated log of the fleet; disabled without voters
 	record: {
-		// this member's own folder for it
+		// directory of this member's copy; must not be shared
 		dir: string | *""
-		// where this member serves it, TCP
+		// address at which this member serves the log, TCP
 		bind: #Address | *""
-		// where the others reach that, if elsewhere
+		// address at which other members reach it, if different from bind
 		advertise: #Address | *""
-		// members that decide what it takes, the same at all: 3 or 5, no zone with a majority; none for off
+		// members that vote on log entries: 3 or 5, without a majority in one zone, or none to disable the log; the same on all members
 		voters: [...#Voter] | *[]
-		// who has heard from nobody for so long acts on its own: 500ms to 1m
+		// a member without contact to a leader for this time acts on its own: 500ms to 1m
 		lease: #Duration | *"2s"
-		// public key of who may found accounts, as 'coralctl account key' prints it; empty for nobody
+		// public key that may create accounts, as printed by 'coralctl account key'; empty for none
 		root: =~"^[A-Za-z0-9+/]{43}=$" | *""
 	}
-	// the limits of accounts, which the record holds; the same at all members
+	// allocation of the limits of accounts, which are stored in the replicated log; the same on all members
 	accounts: {
-		// when all are well: who sees half of them or fewer keeps to its even part of each limit; 0 for no such rule
+		// number of members when all are alive; a member that sees at most half of them uses only its even share of each limit; 0 disables the rule
 		members: int & >=0 & <=1024 | *0
 	}
-	// leaving zones that fail, and returning, as a fleet; the same at all members
+	// evacuation of failing zones and recovery, coordinated by the fleet; the same on all members
 	zones: {
-		// needs a record
+		// requires a replicated log, that is fleet.record with voters
 		enabled: bool | *false
-		// named sets of zones, that are left and returned to as one
+		// named sets of zones that are evacuated and recovered together
 		regions: {[#Zone]: [...#Zone]} | *{}
-		// where given, the record takes no other
+		// all zones; if set, the replicated log accepts no others
 		zones: [...#Zone] | *[]
-		// a member's word counts for so long: 100ms to 1m
+		// validity period of a member's report: 100ms to 1m
 		fresh: #Duration | *"1s"
-		// members' clocks may be so far apart: up to 10s
+		// maximum difference between the clocks of members: up to 10s
 		skew: #Duration | *"200ms"
-		// a failure must be seen for so long, and twice that where others are about to see it: up to 1m
+		// a failure must be observed for this time, or twice as long while other zones see it degrade too: up to 1m
 		confirm: #Duration | *"200ms"
-		// from leaving to left, by when all have heard: up to 1m
+		// time from evacuating to evacuated, after which all nodes are informed: up to 1m
 		settle: #Duration | *"500ms"
-		// good evidence holds for so long before each step of a return: 100ms to 1h
+		// good evidence must last for this time before each step of a recovery: 100ms to 1h
 		steady: #Duration | *"2s"
-		// least time between two changes of one share: 100ms to 1h
+		// minimum time between two changes of one share: 100ms to 1h
 		gap: #Duration | *"5s"
-		// a zone that fails a second time is held so long, then twice as long: 100ms to 1h
+		// a zone that fails a second time is held back for this time, doubled with each further failure: 100ms to 1h
 		hold: #Duration | *"5s"
-		// and never longer than this: hold to 24h
+		// maximum time for which a zone is held back: hold to 24h
 		holdMost: #Duration | *"5m"
-		// then a zone's failures are forgotten: holdMost to 240h
+		// the failures of a zone are forgotten after this time without a change: holdMost to 240h
 		quiet: #Duration | *"10m"
-		// a cold next hop is warm after this: up to 1h
+		// duration of the slow start of an endpoint: up to 1h
 		ramp: #Duration | *"10s"
-		// what a member must have asked before its word counts
+		// number of attempts that a member must have made before its report counts
 		enough: number & >=0.1 & <=1e6 | *2
-		// bad share of its next hops from which on a zone serves nobody
+		// share of bad endpoints from which a zone is unavailable
 		lost: number & >=0.7 & <=1 | *0.9
-		// share of all zones that are left at most, as seen from one
+		// maximum share of all zones that are evacuated, as observed from one zone
 		most: number & >=0.01 & <=0.99 | *0.7
-		// load over capacity up to which the zones that stay are filled
+		// ratio of load to capacity up to which the remaining zones are filled
 		high: number & >=0.1 & <=1 | *0.85
-		// of its capacity that a next hop can do as it starts
+		// share of its capacity that an endpoint has when it starts
 		cold: number & >=0.01 & <=1 | *0.3
-		// of a cold next hop's capacity beyond which it falls over
+		// multiple of its capacity at which a cold endpoint fails
 		multiple: number & >=0.1 & <=100 | *3
-		// set-ups a second that a warm next hop bears
+		// session set-ups per second that a warm endpoint supports
 		bears: number & >=0.01 & <=1e6 | *10
-		// set-ups a second that the session store bears; 0 for no bound
+		// session set-ups per second that the session store supports; 0 for no limit
 		store: number & >=0 & <=1e6 | *0
-		// shares of a return's steps, rising, above 0 to 1: 1 to 16 of them
+		// shares of the steps of a recovery, increasing, above 0 and at most 1: 1 to 16 steps
 		steps: [...number] | *[0.05, 0.15, 0.35, 0.7]
 	}
-	// keeping contracts on response times; the same at all members
+	// enforcement of contracts on response times; the same on all members
 	promises: {
-		// needs a record
+		// requires a replicated log, that is fleet.record with voters
 		enabled: bool | *false
-		// what is measured in such a part of time is told and judged as one: 1s to 1m
+		// interval over which measurements are reported and evaluated together: 1s to 1m
 		part: #Duration | *"5s"
-		// the last parts, that are evidence
+		// number of recent intervals that are used as evidence
 		parts: int & >=1 & <=60 | *6
-		// after a part's end members' samples are still waited for: up to two parts
+		// time after the end of an interval during which samples of members are awaited: up to two intervals
 		late: #Duration | *"5s"
-		// pairs of contract and region that a member tells of a part at most
+		// maximum number of pairs of contract and region that a member reports per interval
 		cells: int & >=1 & <=4096 | *1024
-		// standard deviations that a verdict needs
+		// number of standard deviations that a verdict requires
 		z: number & >=0.5 & <=6 | *2
-		// times within the evidence that make a region measured
+		// number of response times in the evidence from which a region counts as measured
 		need: number & >=1 & <=1e6 | *100
-		// between two steps of one contract: 30s or more
+		// minimum time between two moves of one contract: 30s or more
 		period: #Duration | *"30s"
-		// of a contract that is moved in a period at most
+		// maximum share of a contract that is moved per period
 		step: number & >0 & <=1 | *0.1
-		// of what a region bears that is moved there in a period at most
+		// maximum share of a region's capacity that is moved to it per period
 		inflow: number & >0 & <=1 | *0.05
-		// of what a region bears up to which contracts are moved there
+		// share of a region's capacity up to which contracts are moved to it
 		fill: number & >0 & <=1 | *0.85
-		// a region has to break a promise for so long before anyone leaves it
+		// a region must miss an objective for this time before contracts are moved away
 		patience: #Duration | *"20s"
-		// of the allowed misses that a region must leave free to be moved to
+		// share of the error budget that a region must have left for contracts to be moved to it
 		margin: number & >=0 & <1 | *0.25
-		// of a contract that measures where nobody has of late
+		// share of a contract that is sent to regions without recent samples, to measure them
 		explore: number & >=0 & <=0.02 | *0.02
-		// for rehearsals: these times and contracts' windows pass so many times faster
+		// for rehearsals: factor by which these times and the windows of contracts are shortened
 		pace: int & >=1 & <=60 | *1
 	}
 	if agent != "" {
@@ -232,7 +232,7 @@
 
 #Voter: {
 	name: =~"^[^ \\t]{1,64}$"
-	// where the others reach its record
+	// address at which other members reach its copy of the replicated log
 	addr: #Address
 	zone: #Zone
 }
--- a/internal/operatorconfig/schema/schema.go
+++ b/internal/operatorconfig/schema/schema.go
@@ -1,10 +1,10 @@
-// Package schema is the operator's file as a schema in CUE: it exports files to JSON and
-// explains keys. Only coralctl links it, since CUE takes megabytes. It starts no goroutine;
-// its errors name file, line, key, the value found and the values allowed.
+// Package schema holds the CUE schema of the operator's file. It exports files to JSON and
+// describes keys. Only coralctl links it, as the CUE library takes megabytes. The package starts
+// no goroutine. Its errors state the file, line and key, the value found and the values allowed.
 package schema
 
 import (
-	_ "embed" // the schema is a file of its own
+	_ "embed" // for operator.cue
 	"fmt"
 	"strings"
 
@@ -20,14 +20,15 @@
 //go:embed operator.cue
 var schemaText string
 
-// compileSchema returns the schema as a closed definition.
+// compileSchema returns the schema as a closed CUE definition.
 func compileSchema(ctx *cue.Context) (cue.Value, error) {
-	// A definition is closed all the way down: that refuses a misspelt key.
+	// All structs in a CUE definition are closed, so that unknown keys are errors.
 	v := ctx.CompileString("#File: {\n"+schemaText+"\n}", cue.Filename("operator.cue")).LookupPath(cue.ParsePath("#File"))
 	return v, v.Err()
 }
 
-// Export returns the file at name, whose text is src, as complete JSON.
+// Export returns the configuration in src as JSON, with the defaults of missing keys. Errors use
+// name as the name of the file.
 func Export(name string, src []byte) ([]byte, error) {
 	ctx := cuecontext.New()
 	definition, err := compileSchema(ctx)
@@ -49,15 +50,15 @@
 	if err != nil {
 		return nil, explainErrors(name, definition, given, err)
 	}
-	// The node's own check decides: both have to agree.
+	// The node accepts only what Parse accepts, so that the export must pass the same check.
 	if _, err := operatorconfig.Parse(raw); err != nil {
 		return nil, explainKeyErrors(name, given, err)
 	}
 	return raw, nil
 }
 
-// unknownKeys returns a line for each key that the schema does not have; CUE alone stops at
-// other errors before it reports them.
+// unknownKeys returns an error line for each key that the schema does not have. CUE itself may
+// stop at other errors before it reports unknown keys.
 func unknownKeys(name string, want, got cue.Value, path string) (lines []string) {
 	fields, err := got.Fields()
 	if err != nil {
@@ -77,8 +78,8 @@
 	return lines
 }
 
-// explainErrors rewrites CUE's errors for an operator: the place in the file, the key, the
-// value found there and what the schema allows.
+// explainErrors rewrites CUE's errors for operators. Each line states the position in the file,
+// the key, the value found there and the values that the schema allows.
 func explainErrors(name string, want, got cue.Value, err error) error {
 	var lines []string
 	seen := map[string]bool{}
@@ -89,40 +90,41 @@
 		}
 		seen[key] = true
 		line := position(name, got, key, e) + ": "
-		at := want.LookupPath(cue.ParsePath(key))
+		allowed := want.LookupPath(cue.ParsePath(key))
 		found := got.LookupPath(cue.ParsePath(key))
 		switch {
 		case key == "":
 			line += e.Error()
-		case !at.Exists():
+		case !allowed.Exists():
 			line += key + ": " + e.Error()
 		default:
-			line += fmt.Sprintf("%s: found %s, allowed is %s", key, foundValue(found), allowedValues(at))
+			line += fmt.Sprintf("%s: found %s, allowed is %s", key, foundValue(found), allowedValues(allowed))
 		}
 		lines = append(lines, line)
 	}
 	return fmt.Errorf("%s", strings.Join(lines, "\n"))
 }
 
-// explainKeyErrors adds the place in the file to the errors of the node's own check.
+// explainKeyErrors adds the position in the file to the errors of operatorconfig.Parse.
 func explainKeyErrors(name string, got cue.Value, err error) error {
 	var lines []string
-	for _, l := range strings.Split(err.Error(), "\n") {
-		key, _, _ := strings.Cut(l, ":")
-		lines = append(lines, position(name, got, key, nil)+": "+l)
+	for _, line := range strings.Split(err.Error(), "\n") {
+		key, _, _ := strings.Cut(line, ":")
+		lines = append(lines, position(name, got, key, nil)+": "+line)
 	}
 	return fmt.Errorf("%s", strings.Join(lines, "\n"))
 }
 
-// position returns where the file has the key, or else where the error points to.
+// position returns the position of the key in the file. If the file lacks the key, it returns the
+// position that the error states, or else the name of the file.
 func position(name string, got cue.Value, key string, e errors.Error) string {
 	if v := got.LookupPath(cue.ParsePath(key)); key != "" && v.Exists() && v.Pos().IsValid() {
 		return fmt.Sprintf("%s:%d", name, v.Pos().Line())
 	}
 	if e != nil {
-		for _, p := range errors.Positions(e) {
-			if p.Filename() == name {
-				return fmt.Sprintf("%s:%d", name, p.Line())
+		for _, pos := range errors.Positions(e) {
+			if pos.Filename() == name {
+				return fmt.Sprintf("%s:%d", name, pos.Line())
 			}
 		}
 	}
@@ -144,44 +146,44 @@
 	return strings.Join(strings.Fields(string(b)), " ")
 }
 
-// allowedValues returns the schema's text for a key, and the comment above it.
+// allowedValues returns the schema's constraint for a key, with the comment above it.
 func allowedValues(v cue.Value) string {
-	s := sourceText(v)
-	if c := docComment(v); c != "" {
-		s += " (" + c + ")"
+	text := sourceText(v)
+	if comment := docComment(v); comment != "" {
+		text += " (" + comment + ")"
 	}
-	return s
+	return text
 }
 
 func docComment(v cue.Value) string {
 	var paragraphs []string
-	for _, g := range v.Doc() {
-		paragraphs = append(paragraphs, strings.TrimSpace(g.Text()))
+	for _, group := range v.Doc() {
+		paragraphs = append(paragraphs, strings.TrimSpace(group.Text()))
 	}
 	return strings.Join(paragraphs, " ")
 }
 
-// keyNames lists the keys of a struct.
+// keyNames returns the keys of a struct as a comma-separated list.
 func keyNames(v cue.Value) string {
 	fields, err := v.Fields(cue.Optional(true))
 	if err != nil {
 		return "none"
 	}
-	var list []string
+	var names []string
 	for fields.Next() {
-		list = append(list, fields.Selector().Unquoted())
+		names = append(names, fields.Selector().Unquoted())
 	}
-	return strings.Join(list, ", ")
+	return strings.Join(names, ", ")
 }
 
 // Key describes one key of the schema.
 type Key struct {
-	Name  string // as log.level
-	Type  string // in CUE
+	Name  string // full path, such as log.level
+	Type  string // CUE expression
 	About string // the comment above it
 }
 
-// Keys returns the schema's keys that begin with prefix; none is an error.
+// Keys returns the keys of the schema that begin with prefix. It is an error if there are none.
 func Keys(prefix string) ([]Key, error) {
 	v, err := compileSchema(cuecontext.New())
 	if err != nil {
@@ -195,20 +197,20 @@
 			return
 		}
 		for fields.Next() {
-			at := strings.TrimPrefix(path+"."+fields.Selector().Unquoted(), ".")
-			f := fields.Value()
-			if _, isStruct := f.Syntax(cue.Raw()).(*ast.StructLit); isStruct {
-				walk(f, at)
+			name := strings.TrimPrefix(path+"."+fields.Selector().Unquoted(), ".")
+			field := fields.Value()
+			if _, isStruct := field.Syntax(cue.Raw()).(*ast.StructLit); isStruct {
+				walk(field, name)
 				continue
 			}
-			if strings.HasPrefix(at, prefix) {
-				keys = append(keys, Key{at, sourceText(f), docComment(f)})
+			if strings.HasPrefix(name, prefix) {
+				keys = append(keys, Key{name, sourceText(field), docComment(field)})
 			}
 		}
 	}
 	walk(v, "")
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("no key %q", prefix)
+		return nil, fmt.Errorf("no key begins with %q", prefix)
 	}
 	return keys, nil
 }
--- a/internal/operatorconfig/schema/schema_test.go
+++ b/internal/operatorconfig/schema/schema_test.go
@@ -9,7 +9,8 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// The schema's defaults are the node's, and the example in deploy has them all.
+// The defaults of the schema must equal those of the node. The example file in deploy must state all
+// of them.
 func TestDefaultsAgreeWithNode(t *testing.T) {
 	example, err := os.ReadFile("../../../deploy/operator.cue")
 	if err != nil {
@@ -26,14 +27,14 @@
 		}
 		a, _ := json.Marshal(got)
 		want := operatorconfig.Default()
-		want.Resume.ReplayGuard.Peers = got.Resume.ReplayGuard.Peers // none and nil are one
+		want.Resume.ReplayGuard.Peers = got.Resume.ReplayGuard.Peers // an empty map and nil are equivalent
 		if b, _ := json.Marshal(want); string(a) != string(b) || len(got.Resume.ReplayGuard.Peers) > 0 {
 			t.Errorf("%s: %s\nwant %s", name, a, b)
 		}
 	}
 }
 
-// An error names file, line, key, what was found and what is allowed.
+// An error must state the file, line and key, the value found and the values allowed.
 func TestErrorNamesPlaceKeyAndAllowedValues(t *testing.T) {
 	for src, want := range map[string]string{
 		"log: level: \"loud\"":                          "own.cue:1: log.level: found \"loud\", allowed is \"debug\"",
@@ -47,7 +48,7 @@
 		"resume: ledger: peers: n2: \"nowhere\"":        "resume.ledger.peers.n2",
 	} {
 		if _, err := Export("own.cue", []byte(src)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\ngave %v\nwant %s", src, err, want)
+			t.Errorf("%s\nerror %v\nwant  %s", src, err, want)
 		}
 	}
 }
@@ -58,6 +59,6 @@
 		t.Errorf("%v, %v", keys, err)
 	}
 	if _, err := Keys("nothing"); err == nil {
-		t.Error("a key that is none")
+		t.Error("Keys accepted a prefix that no key has")
 	}
 }
--- a/internal/operatorconfig/slo.go
+++ b/internal/operatorconfig/slo.go
@@ -6,83 +6,86 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// SLO configures how the fleet keeps contracts on response times. It must be the same at all
+// SLO configures how the fleet enforces contracts on response times. It must be the same on all
 // members.
 type SLO struct {
 	Enabled           bool     `json:"enabled"`
-	SampleInterval    Duration `json:"part"`     // one interval of measurement
-	EvidenceIntervals int      `json:"parts"`    // the last so many are evidence
-	LateSampleTimeout Duration `json:"late"`     // how long after an interval's end members' samples are awaited
-	MaxMeasurements   int      `json:"cells"`    // pairs of contract and region that a member reports of an interval
-	ZScore            float64  `json:"z"`        // standard deviations that a verdict needs
-	MinSamples        float64  `json:"need"`     // samples that make a region measured
-	MoveInterval      Duration `json:"period"`   // least time between two moves of one contract
-	MaxMoveFraction   float64  `json:"step"`     // share of a contract that one move takes at most
-	MaxInflowFraction float64  `json:"inflow"`   // share of a region's capacity that is moved there in one step at most
-	MaxUtilization    float64  `json:"fill"`     // of a region's capacity up to which contracts are moved there
-	MinBreachInterval Duration `json:"patience"` // a region must miss its objective so long before a contract leaves it
-	BudgetMargin      float64  `json:"margin"`   // share of the error budget that a region must have left to be moved to
-	ExploreFraction   float64  `json:"explore"`  // share of a contract that measures regions without recent samples
-	TimeScale         int      `json:"pace"`     // for rehearsals: all these times, and contracts' windows, pass so many times faster
+	SampleInterval    Duration `json:"part"`     // interval that is reported and evaluated as one
+	EvidenceIntervals int      `json:"parts"`    // number of recent intervals that are evidence
+	LateSampleTimeout Duration `json:"late"`     // how long samples are awaited after an interval
+	MaxMeasurements   int      `json:"cells"`    // pairs of contract and region in a report
+	ZScore            float64  `json:"z"`        // standard deviations that a verdict requires
+	MinSamples        float64  `json:"need"`     // samples from which a region counts as measured
+	MoveInterval      Duration `json:"period"`   // minimum time between two moves of a contract
+	MaxMoveFraction   float64  `json:"step"`     // maximum share of a contract per MoveInterval
+	MaxInflowFraction float64  `json:"inflow"`   // maximum share of capacity that moves in per MoveInterval
+	MaxUtilization    float64  `json:"fill"`     // share of capacity up to which contracts move in
+	MinBreachInterval Duration `json:"patience"` // duration of a breach before contracts move away
+	BudgetMargin      float64  `json:"margin"`   // error budget that a region must have left to move in
+	ExploreFraction   float64  `json:"explore"`  // share of a contract to regions without recent samples
+	TimeScale         int      `json:"pace"`     // for rehearsals: speed-up of all times and windows
 }
 
 func defaultSLO() SLO {
-	d := slo.DefaultConfig()
-	in := func(t time.Duration) Duration { return Duration{t} }
+	defaults := slo.DefaultConfig()
+	toDuration := func(t time.Duration) Duration { return Duration{t} }
 	return SLO{
-		SampleInterval:    in(d.SampleInterval),
-		EvidenceIntervals: d.EvidenceIntervals,
-		LateSampleTimeout: in(d.LateSampleTimeout),
-		MaxMeasurements:   d.MaxMeasurements,
-		ZScore:            d.ZScore,
-		MinSamples:        d.MinSamples,
-		MoveInterval:      in(d.MoveInterval),
-		MaxMoveFraction:   d.MaxMoveFraction,
-		MaxInflowFraction: d.MaxInflowFraction,
-		MaxUtilization:    d.MaxUtilization,
-		MinBreachInterval: in(d.MinBreachInterval),
-		BudgetMargin:      d.BudgetMargin,
-		ExploreFraction:   d.ExploreFraction,
+		SampleInterval:    toDuration(defaults.SampleInterval),
+		EvidenceIntervals: defaults.EvidenceIntervals,
+		LateSampleTimeout: toDuration(defaults.LateSampleTimeout),
+		MaxMeasurements:   defaults.MaxMeasurements,
+		ZScore:            defaults.ZScore,
+		MinSamples:        defaults.MinSamples,
+		MoveInterval:      toDuration(defaults.MoveInterval),
+		MaxMoveFraction:   defaults.MaxMoveFraction,
+		MaxInflowFraction: defaults.MaxInflowFraction,
+		MaxUtilization:    defaults.MaxUtilization,
+		MinBreachInterval: toDuration(defaults.MinBreachInterval),
+		BudgetMargin:      defaults.BudgetMargin,
+		ExploreFraction:   defaults.ExploreFraction,
 		TimeScale:         1,
 	}
 }
 
 // Config returns the configuration for package slo.
-func (p *SLO) Config() slo.Config {
+func (s *SLO) Config() slo.Config {
 	return slo.Config{
-		SampleInterval:    p.SampleInterval.Duration,
-		EvidenceIntervals: p.EvidenceIntervals,
-		LateSampleTimeout: p.LateSampleTimeout.Duration,
-		MaxMeasurements:   p.MaxMeasurements,
-		ZScore:            p.ZScore,
-		MinSamples:        p.MinSamples,
-		MoveInterval:      p.MoveInterval.Duration,
-		MaxMoveFraction:   p.MaxMoveFraction,
-		MaxInflowFraction: p.MaxInflowFraction,
-		MaxUtilization:    p.MaxUtilization,
-		MinBreachInterval: p.MinBreachInterval.Duration,
-		BudgetMargin:      p.BudgetMargin,
-		ExploreFraction:   p.ExploreFraction,
+		SampleInterval:    s.SampleInterval.Duration,
+		EvidenceIntervals: s.EvidenceIntervals,
+		LateSampleTimeout: s.LateSampleTimeout.Duration,
+		MaxMeasurements:   s.MaxMeasurements,
+		ZScore:            s.ZScore,
+		MinSamples:        s.MinSamples,
+		MoveInterval:      s.MoveInterval.Duration,
+		MaxMoveFraction:   s.MaxMoveFraction,
+		MaxInflowFraction: s.MaxInflowFraction,
+		MaxUtilization:    s.MaxUtilization,
+		MinBreachInterval: s.MinBreachInterval.Duration,
+		BudgetMargin:      s.BudgetMargin,
+		ExploreFraction:   s.ExploreFraction,
 	}
 }
 
-// scaledTimeOrigin is where a faster clock starts: it has to be the same at all members.
+// scaledTimeOrigin is the start of the scaled clock. It must be the same on all members.
 const scaledTimeOrigin = time.Duration(1_767_225_600) * time.Second // 2026-01-01
 
-// ScaledTime returns the Unix time that package slo is given in place of unix.
-func (p *SLO) ScaledTime(unix time.Duration) time.Duration {
-	if p.TimeScale <= 1 {
+// ScaledTime returns the Unix time for package slo at the given Unix time. With a TimeScale
+// above 1 it runs faster.
+func (s *SLO) ScaledTime(unix time.Duration) time.Duration {
+	if s.TimeScale <= 1 {
 		return unix
 	}
-	return scaledTimeOrigin + (unix-scaledTimeOrigin)*time.Duration(p.TimeScale)
+	return scaledTimeOrigin + (unix-scaledTimeOrigin)*time.Duration(s.TimeScale)
 }
 
-// check leaves most bounds to package slo.
-func (p *SLO) check(c *checker, l *Fleet) {
+// check delegates most bounds to package slo.
+func (s *SLO) check(c *checker, fleet *Fleet) {
 	const key = "fleet.promises."
-	c.rejectIf(p.Enabled && !l.ReplicatedLog.IsEnabled(), key+"enabled", p.Enabled, "false, as fleet.record has no voters")
-	c.rejectIf(p.TimeScale < 1 || p.TimeScale > 60, key+"pace", p.TimeScale, "1 to 60")
-	if bad := p.Config().InvalidKey(); bad != "" {
-		c.rejectIf(true, key+bad, "a figure that can't be worked with", "what 'coralctl explain fleet.promises."+bad+"' tells")
+	c.rejectIf(s.Enabled && !fleet.ReplicatedLog.IsEnabled(), key+"enabled", s.Enabled,
+		"false, as fleet.record has no voters")
+	c.rejectIf(s.TimeScale < 1 || s.TimeScale > 60, key+"pace", s.TimeScale, "1 to 60")
+	if invalidKey := s.Config().InvalidKey(); invalidKey != "" {
+		c.rejectIf(true, key+invalidKey, "an invalid value",
+			"the values that 'coralctl explain fleet.promises."+invalidKey+"' describes")
 	}
 }
