--- a/internal/operatorconfig/schema/schema.go
+++ b/internal/operatorconfig/schema/schema.go
@@ -59,20 +59,20 @@
 
 // unknownKeys returns an error line for each key that the schema does not have. CUE itself may
 // stop at other errors before it reports unknown keys.
-func unknownKeys(name string, want, got cue.Value, path string) (lines []string) {
-	fields, err := got.Fields()
+func unknownKeys(name string, definition, given cue.Value, path string) (lines []string) {
+	fields, err := given.Fields()
 	if err != nil {
 		return nil
 	}
 	for fields.Next() {
 		key := strings.TrimPrefix(path+"."+fields.Selector().Unquoted(), ".")
-		if !want.Allows(fields.Selector()) {
+		if !definition.Allows(fields.Selector()) {
 			lines = append(lines, fmt.Sprintf("%s: %s: no such key; allowed here: %s",
-				position(name, got, fields.Selector().String(), nil), key, keyNames(want)))
+				position(name, given, fields.Selector().String(), nil), key, keyNames(definition)))
 			continue
 		}
-		if next := want.LookupPath(cue.MakePath(fields.Selector())); next.Exists() {
-			lines = append(lines, unknownKeys(name, next, fields.Value(), key)...)
+		if nested := definition.LookupPath(cue.MakePath(fields.Selector())); nested.Exists() {
+			lines = append(lines, unknownKeys(name, nested, fields.Value(), key)...)
 		}
 	}
 	return lines
@@ -80,7 +80,7 @@
 
 // explainErrors rewrites CUE's errors for operators. Each line states the position in the file,
 // the key, the value found there and the values that the schema allows.
-func explainErrors(name string, want, got cue.Value, err error) error {
+func explainErrors(name string, definition, given cue.Value, err error) error {
 	var lines []string
 	seen := map[string]bool{}
 	for _, e := range errors.Errors(err) {
@@ -89,9 +89,9 @@
 			continue
 		}
 		seen[key] = true
-		line := position(name, got, key, e) + ": "
-		allowed := want.LookupPath(cue.ParsePath(key))
-		found := got.LookupPath(cue.ParsePath(key))
+		line := position(name, given, key, e) + ": "
+		allowed := definition.LookupPath(cue.ParsePath(key))
+		found := given.LookupPath(cue.ParsePath(key))
 		switch {
 		case key == "":
 			line += e.Error()
@@ -106,19 +106,19 @@
 }
 
 // explainKeyErrors adds the position in the file to the errors of operatorconfig.Parse.
-func explainKeyErrors(name string, got cue.Value, err error) error {
+func explainKeyErrors(name string, given cue.Value, err error) error {
 	var lines []string
 	for _, line := range strings.Split(err.Error(), "\n") {
 		key, _, _ := strings.Cut(line, ":")
-		lines = append(lines, position(name, got, key, nil)+": "+line)
+		lines = append(lines, position(name, given, key, nil)+": "+line)
 	}
 	return fmt.Errorf("%s", strings.Join(lines, "\n"))
 }
 
 // position returns the position of the key in the file. If the file lacks the key, it returns the
 // position that the error states, or else the name of the file.
-func position(name string, got cue.Value, key string, e errors.Error) string {
-	if v := got.LookupPath(cue.ParsePath(key)); key != "" && v.Exists() && v.Pos().IsValid() {
+func position(name string, given cue.Value, key string, e errors.Error) string {
+	if v := given.LookupPath(cue.ParsePath(key)); key != "" && v.Exists() && v.Pos().IsValid() {
 		return fmt.Sprintf("%s:%d", name, v.Pos().Line())
 	}
 	if e != nil {
