--- a/internal/fleet/zonestatus/capacity.go
+++ b/internal/fleet/zonestatus/capacity.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Shares and shed fractions are rounded to coarse steps, so that small changes of what is
-// observed change nothing in the replicated state.
+// Shares and shed fractions are rounded to coarse steps, so that small changes in the
+// observations do not change the replicated state.
 const (
 	shedSteps  = 20 // a twentieth each
 	shareSteps = 4  // a quarter each
@@ -15,20 +15,20 @@
 	roundingSlack = 1e-9
 )
 
-// noZone is no index of a zone.
+// noZone is an index that refers to no zone.
 const noZone = -1
 
-// capacity is what a zone's endpoints can carry, in fully warm endpoints: those that are
-// warming up count for their cold capacity, failing ones for nothing.
+// capacity returns the load that a zone's endpoints can carry, in units of one warm endpoint.
+// Endpoints that are warming up count with ColdCapacityFraction, failing ones with 0.
 func (v *fleetView) capacity(to int) float64 {
 	stats := &v.stats[to]
 	warm := stats.endpoints - stats.warmingUp + stats.warmingUp*v.cfg.ColdCapacityFraction
 	return v.cfg.MaxUtilization * (1 - stats.failing) * warm
 }
 
-// usedCapacity is what a zone's endpoints carry, in full endpoints. A zone whose load nobody
-// knows, as it serves nobody, counts with the mean load of the others; ok is false if no load
-// is known at all.
+// usedCapacity returns the load that a zone's endpoints carry, in units of one fully loaded
+// endpoint. A zone without a reported load (it serves no sessions) counts with the mean load of
+// the other zones; ok is false if no zone has a reported load.
 func (v *fleetView) usedCapacity(to int) (used float64, ok bool) {
 	load, count := v.stats[to].load, 0
 	if load < 0 {
@@ -47,8 +47,9 @@
 	return load * v.stats[to].endpoints, true
 }
 
-// spareCapacity is what the zones that are not evacuated can take on in addition, in full
-// endpoints, without the zone except. pairs say which observing zones still use them.
+// spareCapacity returns the additional load that all zones but except can carry, in units of
+// one fully loaded endpoint. Each zone's spare capacity is weighted by the fraction of the fleet
+// that may still use the zone according to pairs.
 func (v *fleetView) spareCapacity(pairs []PairStatus, except int) (spare float64) {
 	for to, zone := range v.zones {
 		used, ok := v.usedCapacity(to)
@@ -67,12 +68,13 @@
 	return spare
 }
 
-// limitPartialFailures lowers the share of a zone of which a part fails to about its healthy
-// part, but not below what the others can't carry, and raises it again.
+// limitPartialFailures lowers the share of a partially failing zone to about its healthy
+// fraction, but not below the share that the other zones have no capacity for. It raises the
+// share again as the zone recovers.
 func (c *Controller) limitPartialFailures(view *fleetView, draft *changeDraft) {
 	pairs := draft.resultingPairs()
 	for to, zone := range view.zones {
-		minShare := -1.0 // computed once for the zone, if at all
+		minShare := -1.0 // computed once per zone, on first use
 		var reduced, raised []string
 		for from, observer := range view.zones {
 			evidence, pair := view.pair(from, to), draft.base.pair(observer, zone)
@@ -108,17 +110,18 @@
 	}
 }
 
-// minShare is the share of a zone's traffic that the others can't carry.
+// minShare returns the share of a zone's traffic that the other zones have no capacity for.
 func (v *fleetView) minShare(pairs []PairStatus, to int) float64 {
 	used, ok := v.usedCapacity(to)
 	if !ok || used == 0 {
 		return 0
 	}
-	uncarried := 1 - v.spareCapacity(pairs, to)/used
-	return max(0, min(1, math.Ceil(uncarried*shareSteps-roundingSlack)/shareSteps))
+	excessFraction := 1 - v.spareCapacity(pairs, to)/used
+	return max(0, min(1, math.Ceil(excessFraction*shareSteps-roundingSlack)/shareSteps))
 }
 
-// quantizeShare rounds a healthy fraction to a step; a zone that serves at all keeps one step.
+// quantizeShare rounds a healthy fraction to a multiple of 1/shareSteps, with a minimum of one
+// step.
 func quantizeShare(healthy float64) float64 {
 	return max(1, math.Round(healthy*shareSteps)) / shareSteps
 }
--- a/internal/fleet/zonestatus/controller.go
+++ b/internal/fleet/zonestatus/controller.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// proposalTimeout is the time after which a change that has not been committed is proposed anew.
+// proposalTimeout is the time after which a proposed change that has not been committed is
+// proposed again.
 const proposalTimeout = time.Second
 
-// Controller decides changes for the member that leads the replicated log. It remembers only
-// since when conditions hold and what it proposed last, so a new leader's controller goes on
-// from the replicated state. It is not safe for concurrent use.
+// Controller proposes changes on the member that leads the replicated log. Beside the replicated
+// state it keeps only how long conditions have held and what it changed or proposed last, so the
+// controller of a new leader can continue from the replicated state. It is not safe for
+// concurrent use.
 type Controller struct {
 	DisabledGuards Guards
 
 	cfg           Config
 	conditions    map[condition]conditionSpan
-	sentVersion   uint64 // that the last proposed change leads to
+	sentVersion   uint64 // version that results from the last proposed change
 	sentAt        time.Duration
 	shedChangedAt time.Duration
-	committed     *State // only within an IsolatedController: the replicated state it builds on
+	committed     *State // the replicated state; set only by an IsolatedController
 }
 
-// conditionKind is what a controller watches a pair of zones for.
+// conditionKind is a condition whose duration a controller tracks for a pair of zones.
 type conditionKind byte
 
 const (
@@ -45,13 +47,14 @@
 
 type conditionSpan struct{ startedAt, lastSeenAt time.Duration }
 
-// NewController returns a controller that has seen nothing yet.
+// NewController returns a controller that has no evidence yet.
 func NewController(cfg Config) *Controller {
 	return &Controller{cfg: cfg.withDefaults(), conditions: map[condition]conditionSpan{}}
 }
 
-// Evaluate returns the next change to propose and the reason in words; ok is false if there is
-// none. now is Unix time. reports are all that gossip has brought, of any age.
+// Evaluate returns the next change to propose and the reason for it in words; ok is false if
+// there is nothing to propose. now is Unix time. reports are all reports received by gossip,
+// regardless of their age.
 func (c *Controller) Evaluate(
 	now time.Duration, state State, reports []Report, members []Member,
 ) (change Change, reason string, ok bool) {
@@ -86,8 +89,8 @@
 	return change, strings.Join(draft.reasons, "; "), true
 }
 
-// trackCondition records whether a condition holds now and returns for how long it has; negative if
-// it does not.
+// trackCondition records whether a condition holds now. It returns for how long the condition
+// has held, or a negative value if it does not hold.
 func (c *Controller) trackCondition(now time.Duration, from, to string, kind conditionKind, holds bool) time.Duration {
 	key := condition{from, to, kind}
 	if !holds {
@@ -103,7 +106,8 @@
 	return now - span.startedAt
 }
 
-// resetFailures forgets old failures, and that a zone was suspect.
+// resetFailures clears the failure counts of pairs that have been healthy and unchanged for
+// the FailureResetInterval.
 func (c *Controller) resetFailures(draft *changeDraft) {
 	for _, pair := range draft.base.Pairs {
 		isHealthy := pair.Status == Active && pair.Share == 1
--- a/internal/fleet/zonestatus/crosscheck.go
+++ b/internal/fleet/zonestatus/crosscheck.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// crossCheck weighs the pairs against one another: a zone that is isolated accuses nobody,
-// and a region most of whose endpoints are unavailable is unavailable.
+// crossCheck corrects the evidence of each pair by that of the others. Failures that an isolated
+// zone observes are discarded unless most other zones observe them too, and a region is
+// unavailable if most of its endpoints are.
 func (v *fleetView) crossCheck(isolated []bool) {
 	n := len(v.zones)
 	original := make([]pairEvidence, len(v.pairs))
@@ -14,8 +15,8 @@
 		}
 		for to := range n {
 			evidence := v.pair(from, to)
-			accuses := evidence.unavailable || evidence.failing > maxFailingForRecovery/2
-			if accuses && !othersAgree(original, n, from, to) {
+			reportsFailure := evidence.unavailable || evidence.failing > maxFailingForRecovery/2
+			if reportsFailure && !othersAgree(original, n, from, to) {
 				*evidence = pairEvidence{}
 			}
 		}
@@ -28,8 +29,9 @@
 	}
 }
 
-// othersAgree reports whether to most other zones that know a zone it is unavailable as well.
-// Two dead zones of three are observed by all; an isolated zone is alone with what it observes.
+// othersAgree reports whether a zone is unavailable as observed from most of the other zones
+// that have evidence of it. If two of three zones are down, all zones observe that; the failures
+// that an isolated zone observes are observed by no other zone.
 func othersAgree(pairs []pairEvidence, zoneCount, from, to int) bool {
 	known, unavailable := 0, 0
 	for other := range zoneCount {
@@ -45,7 +47,7 @@
 	return 2*unavailable > known
 }
 
-// shareWorstView gives all zones the worst that one observes.
+// shareWorstView marks a zone as unavailable from all zones if it is unavailable from any one.
 func (v *fleetView) shareWorstView() {
 	for to := range v.zones {
 		unavailable := v.unavailableCount(to) > 0
@@ -55,8 +57,8 @@
 	}
 }
 
-// extendToRegion makes the rest of a region unavailable too once most of its endpoints are,
-// but for the observing zone itself.
+// extendToRegion marks a whole region as unavailable from one zone once most of the region's
+// endpoints are. The observing zone itself is left out.
 func (v *fleetView) extendToRegion(from int) {
 	for _, region := range v.cfg.regionNames() {
 		total, unavailable := 0.0, 0.0
@@ -80,8 +82,8 @@
 	}
 }
 
-// failsForMost reports whether a zone is unavailable to so many of those that know it that
-// zones which don't know follow them.
+// failsForMost reports whether a zone is unavailable from at least minReporters zones and three
+// quarters of the zones that have evidence of it. Zones without evidence then evacuate it too.
 func (v *fleetView) failsForMost(to int) bool {
 	known, unavailable := 0, 0
 	for from := range v.zones {
@@ -96,7 +98,7 @@
 	return unavailable >= minReporters && 4*unavailable >= 3*known
 }
 
-// unavailableCount is to how many zones one is unavailable.
+// unavailableCount returns the number of zones from which a zone is unavailable.
 func (v *fleetView) unavailableCount(to int) (count int) {
 	for from := range v.zones {
 		if v.pair(from, to).unavailable {
@@ -106,7 +108,7 @@
 	return count
 }
 
-// isUnavailable is a pair's evidence by the zones' names.
+// isUnavailable reports whether zone to is unavailable as observed from zone from.
 func (v *fleetView) isUnavailable(from, to string) bool {
 	fromIndex, fromKnown := slices.BinarySearch(v.zones, from)
 	toIndex, toKnown := slices.BinarySearch(v.zones, to)
--- a/internal/fleet/zonestatus/draft.go
+++ b/internal/fleet/zonestatus/draft.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// zonePair is a key: the observing zone and the observed one.
+// zonePair is a map key: an observing zone and the zone that it observes.
 type zonePair struct{ from, to string }
 
-// changeDraft is a change that is being made.
+// changeDraft is a change under construction.
 type changeDraft struct {
 	now          time.Duration
 	base         State
 	lastChangeAt int64 // Unix ms, of the newest pair in base
 
-	// Changes that can wait are set while deferrable, and dropped unless deferrableAllowed:
-	// they go together, so that the log has few entries.
+	// While deferrable is true, set drops changes unless deferrableAllowed is true. Changes that
+	// are not urgent are thus batched into few log entries.
 	deferrable, deferrableAllowed bool
 
 	changed map[zonePair]PairStatus
@@ -33,12 +33,13 @@
 	return draft
 }
 
-// elapsedSince is how long ago a pair was set. It is negative if another leader's clock was ahead.
+// elapsedSince returns the time since a pair was set. It is negative if the clock of the leader
+// that set the pair was ahead.
 func (d *changeDraft) elapsedSince(unixMs int64) time.Duration {
 	return d.now - time.Duration(unixMs)*time.Millisecond
 }
 
-// pair returns a pair as it will be.
+// pair returns a pair as it is after the change.
 func (d *changeDraft) pair(from, to string) PairStatus {
 	if pair, ok := d.changed[zonePair{from, to}]; ok {
 		return pair
@@ -46,7 +47,7 @@
 	return d.base.pair(from, to)
 }
 
-// set changes a pair, and returns false if it was dropped because it has to wait.
+// set changes a pair. It returns false if the change was dropped because it is deferred.
 func (d *changeDraft) set(pair PairStatus) bool {
 	if d.deferrable && !d.deferrableAllowed {
 		return false
@@ -56,7 +57,8 @@
 	return true
 }
 
-// addReason adds a reason and the zones it was observed from, if there are any.
+// addReason adds a reason and the zones that it was observed from. It adds nothing if there are
+// no such zones.
 func (d *changeDraft) addReason(zone, what string, from []string) {
 	if len(from) > 0 {
 		d.reasons = append(d.reasons, zone+" "+what+" from "+strings.Join(from, ", "))
@@ -69,7 +71,7 @@
 	return slices.SortedFunc(maps.Values(d.changed), comparePairs)
 }
 
-// resultingPairs returns all pairs as they will be.
+// resultingPairs returns all pairs as they are after the change.
 func (d *changeDraft) resultingPairs() []PairStatus {
 	return mergePairs(d.base.Pairs, d.changedPairs())
 }
--- a/internal/fleet/zonestatus/evacuate.go
+++ b/internal/fleet/zonestatus/evacuate.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// degradedFraction is the failing fraction from which on a zone counts as degrading.
+// degradedFraction is the failing fraction at or above which a zone counts as degrading.
 const degradedFraction = 0.5
 
-// evacuate drafts what is evacuated now: each zone from all observing zones at once.
+// evacuate drafts the evacuations that are due, each zone from all its observing zones at once.
 func (c *Controller) evacuate(view *fleetView, draft *changeDraft) {
-	candidatesByObserver := make([][]int, len(view.zones)) // what each zone would evacuate
+	candidatesByObserver := make([][]int, len(view.zones)) // by observing zone
 	for to := range view.zones {
 		for _, from := range c.observersToEvacuate(view, draft, to) {
 			candidatesByObserver[from] = append(candidatesByObserver[from], to)
@@ -40,9 +40,10 @@
 	c.updateSuspects(view, draft, kept)
 }
 
-// observersToEvacuate returns the zones that evacuate one now. Once the first has observed the
-// failure for the ConfirmInterval, all that observe it evacuate together. While others see the
-// zone degrade, they are waited for a little; those that don't know follow if it fails for most.
+// observersToEvacuate returns the zones that evacuate zone to now. Once the first of them has
+// observed the failure for the ConfirmInterval, all that observe it evacuate together. While
+// other zones observe the zone as degrading, the evacuation waits for twice the ConfirmInterval.
+// Zones without evidence evacuate it too if failsForMost is true.
 func (c *Controller) observersToEvacuate(view *fleetView, draft *changeDraft, to int) (observers []int) {
 	longest, othersDegrading := c.cfg.ConfirmInterval-1, false
 	for from, observer := range view.zones {
@@ -67,16 +68,18 @@
 	}
 	for from, observer := range view.zones {
 		evidence := view.pair(from, to)
-		knows := evidence.known || evidence.unavailable
-		if view.hasMembers[from] && !knows && !draft.base.pair(observer, view.zones[to]).Status.isEvacuated() {
+		hasEvidence := evidence.known || evidence.unavailable
+		if view.hasMembers[from] && !hasEvidence &&
+			!draft.base.pair(observer, view.zones[to]).Status.isEvacuated() {
 			observers = append(observers, from)
 		}
 	}
 	return observers
 }
 
-// limitEvacuations is the panic threshold: of the zones that one would evacuate it returns
-// those that it may, the surest first, and never the last one.
+// limitEvacuations enforces the panic threshold. It returns those of an observing zone's
+// candidates that the zone may evacuate, the most certain failures first. At least one zone
+// always remains.
 func (c *Controller) limitEvacuations(view *fleetView, draft *changeDraft, from int, candidates []int) []int {
 	if c.committed != nil {
 		candidates = c.limitToOneUnit(view, draft, from, candidates)
@@ -84,21 +87,22 @@
 	if c.DisabledGuards.PanicThreshold {
 		return candidates
 	}
-	surest := slices.Clone(candidates)
-	slices.SortFunc(surest, func(a, b int) int { return view.compareSurest(from, a, b) })
+	ranked := slices.Clone(candidates)
+	slices.SortFunc(ranked, func(a, b int) int { return view.compareCertainty(from, a, b) })
 	remaining := c.cfg.maxEvacuatedZones(len(view.zones)) - draft.base.evacuatedCount(view.zones[from])
-	return slices.DeleteFunc(surest, func(to int) bool {
+	return slices.DeleteFunc(ranked, func(to int) bool {
 		if draft.base.pair(view.zones[from], view.zones[to]).Status == Recovering {
-			return false // counted as evacuated already
+			return false // evacuatedCount includes it already
 		}
 		remaining--
 		return remaining < 0
 	})
 }
 
-// compareSurest orders zones that one would evacuate: those that are unavailable to most zones
-// first, the observing zone itself after others, then those of which most fails.
-func (v *fleetView) compareSurest(from, a, b int) int {
+// compareCertainty orders the candidates for evacuation: first those that are unavailable from
+// the most zones, then other zones before the observing zone itself, then those with the largest
+// failing fraction.
+func (v *fleetView) compareCertainty(from, a, b int) int {
 	isOwnZone := func(zone int) int {
 		if zone == from {
 			return 1
@@ -113,8 +117,9 @@
 	)
 }
 
-// updateSuspects marks what the panic threshold keeps (by zone, the observing zones) as
-// Suspect, and makes suspects Active again that have recovered.
+// updateSuspects marks the pairs that the panic threshold keeps from evacuation as Suspect, and
+// returns suspect pairs to Active once they have recovered. kept holds the observing zones by the
+// observed zone.
 func (c *Controller) updateSuspects(view *fleetView, draft *changeDraft, kept [][]string) {
 	draft.deferrable = true
 	draft.deferrableAllowed = draft.elapsedSince(draft.lastChangeAt) >= c.cfg.StableInterval
@@ -145,8 +150,8 @@
 	}
 }
 
-// finishEvacuations turns Evacuating into Evacuated, or HeldBack after repeated failures, once
-// all nodes must have received it.
+// finishEvacuations changes Evacuating to Evacuated, or to HeldBack after repeated failures, once
+// the EvacuationTimeout is over and all nodes have received the evacuation.
 func (c *Controller) finishEvacuations(draft *changeDraft) {
 	var evacuated []string
 	for _, pair := range draft.base.Pairs {
--- a/internal/fleet/zonestatus/evacuate_test.go
+++ b/internal/fleet/zonestatus/evacuate_test.go
@@ -8,14 +8,16 @@
 
 const bEvacuatedByAll = "a>b:left, b>b:left, c>b:left"
 
-// cutLinks makes zones unavailable to single others: "ab" is b as observed from a.
-func cutLinks(links ...string) func(from, to string, member int) float64 {
+// failLinks makes zones unavailable as observed from single other zones: "ab" is b as observed
+// from a.
+func failLinks(links ...string) func(from, to string, member int) float64 {
 	all := strings.Join(links, " ")
 	return func(from, to string, _ int) float64 { return indicator(strings.Contains(all, from+to)) }
 }
 
-// evacuationCases are faults in a fleet of three zones with three members each, and what is
-// decided within 0.6 s of evidence and finished 0.6 s later.
+// evacuationCases are faults in a fleet of three zones with three members each, with the expected
+// state, number of changes and shed fraction. The changes are decided within 0.6 s of the first
+// evidence and completed 0.6 s later.
 var evacuationCases = []struct {
 	name    string
 	inject  func(f *testFleet)
@@ -24,58 +26,58 @@
 	shed    float64
 }{
 	{"no fault", func(*testFleet) {}, "", 0, 0},
-	{"its endpoints fail for everybody", func(f *testFleet) { f.fail(1, "b") }, bEvacuatedByAll, 2, 0},
-	{"two of three", func(f *testFleet) { f.fail(1, "b", "c") },
+	{"one zone fails as observed from all", func(f *testFleet) { f.fail(1, "b") }, bEvacuatedByAll, 2, 0},
+	{"two of three zones fail", func(f *testFleet) { f.fail(1, "b", "c") },
 		"a>b:left, a>c:left, b>b:left, b>c:left, c>b:left, c>c:left", 2, 0.1},
-	{"all: the last is kept", func(f *testFleet) { f.fail(1, "a", "b", "c") },
+	{"all zones fail: the last one is kept", func(f *testFleet) { f.fail(1, "a", "b", "c") },
 		"a>a:suspect, a>b:left, a>c:left, b>a:left, b>b:suspect, b>c:left, c>a:left, c>b:left, c>c:suspect", 2, 0.7},
-	{"only one link", func(f *testFleet) { f.failing = cutLinks("ab") }, "a>b:left", 2, 0},
-	{"one zone is isolated, and observes failures of the others", func(f *testFleet) {
-		f.failing = cutLinks("ab", "ac")
+	{"one link fails", func(f *testFleet) { f.failing = failLinks("ab") }, "a>b:left", 2, 0},
+	{"one zone is isolated and observes the others as failing", func(f *testFleet) {
+		f.failing = failLinks("ab", "ac")
 	}, "", 0, 0},
-	{"isolated both ways: it is evacuated, and accuses nobody", func(f *testFleet) {
-		f.failing = cutLinks("ab", "ac", "ba", "ca")
+	{"one zone is isolated in both directions: only it is evacuated", func(f *testFleet) {
+		f.failing = failLinks("ab", "ac", "ba", "ca")
 	}, "b>a:left, c>a:left", 2, 0},
-	{"one member reaches nobody", func(f *testFleet) {
+	{"one member is isolated", func(f *testFleet) {
 		f.failing = func(from, _ string, m int) float64 { return indicator(from == "a" && m == 0) }
 	}, "", 0, 0},
-	{"one member of each lies about one zone", func(f *testFleet) {
+	{"one member of each zone is a false reporter", func(f *testFleet) {
 		f.failing = func(_, to string, m int) float64 { return indicator(to == "b" && m == 0) }
 	}, "", 0, 0},
-	{"two of five in each lie", func(f *testFleet) {
+	{"two of five members of each zone are false reporters", func(f *testFleet) {
 		f.membersPerZone = 5
 		f.failing = func(_, to string, m int) float64 { return indicator(to == "b" && m < 2) }
 	}, "", 0, 0},
-	{"its agents are gone", func(f *testFleet) {
+	{"the agents of one zone are silent", func(f *testFleet) {
 		f.isSilent = func(m string) bool { return m[0] == 'b' }
 	}, "", 0, 0},
-	{"its agents are gone with its endpoints: it follows", func(f *testFleet) {
+	{"the agents of a failing zone are silent: it follows the others", func(f *testFleet) {
 		f.fail(1, "b")
 		f.isSilent = func(m string) bool { return m[0] == 'b' }
 	}, bEvacuatedByAll, 2, 0},
-	{"half of it", func(f *testFleet) { f.fail(0.5, "b") }, "a>b:open 0.50, b>b:open 0.50, c>b:open 0.50", 1, 0},
-	{"half of it, and the others are full", func(f *testFleet) { f.load = 0.84; f.fail(0.5, "b") }, "", 0, 0},
-	{"half of it, and the others have little capacity", func(f *testFleet) { f.load = 0.7; f.fail(0.5, "b") },
+	{"half fails", func(f *testFleet) { f.fail(0.5, "b") }, "a>b:open 0.50, b>b:open 0.50, c>b:open 0.50", 1, 0},
+	{"half fails, others are full", func(f *testFleet) { f.load = 0.84; f.fail(0.5, "b") }, "", 0, 0},
+	{"half fails, others have little capacity", func(f *testFleet) { f.load = 0.7; f.fail(0.5, "b") },
 		"a>b:open 0.75, b>b:open 0.75, c>b:open 0.75", 1, 0},
-	{"the others can't carry it", func(f *testFleet) { f.load = 0.7; f.fail(1, "b") }, bEvacuatedByAll, 2, 0.2},
-	{"the others are warming up", func(f *testFleet) {
+	{"others lack capacity", func(f *testFleet) { f.load = 0.7; f.fail(1, "b") }, bEvacuatedByAll, 2, 0.2},
+	{"one zone fails, others are warming up", func(f *testFleet) {
 		f.warmingUp = 4
 		f.load = 0.2
 		f.fail(1, "b")
 	}, bEvacuatedByAll, 2, 0.15},
-	{"slow and full", func(f *testFleet) { f.load = 1.2 }, "", 0, 0},
-	{"old reports", func(f *testFleet) {
+	{"all zones are overloaded", func(f *testFleet) { f.load = 1.2 }, "", 0, 0},
+	{"expired reports", func(f *testFleet) {
 		f.fail(1, "b")
 		reports := f.reports()
 		f.now += f.cfg.ReportTTL + f.cfg.MaxClockSkew
 		f.isSilent = func(string) bool { return true }
 		f.controller.Evaluate(f.now, f.state, reports, f.members())
 	}, "", 0, 0},
-	{"region: most of it is unavailable", func(f *testFleet) {
+	{"most of a region is unavailable", func(f *testFleet) {
 		f.zones = []string{"a", "b", "c", "d", "e", "f"}
 		f.cfg.Regions = map[string][]string{"r": {"d", "e", "f"}}
 		f.controller = NewController(f.cfg)
-		f.failing = cutLinks("ad", "ae")
+		f.failing = failLinks("ad", "ae")
 	}, "a>d:left, a>e:left, a>f:left", 2, 0},
 }
 
@@ -92,8 +94,9 @@
 	}
 }
 
-// From the first evidence to the change: ConfirmInterval where all observe it at once, twice
-// that where some are about to.
+// The change must follow the first evidence within the ConfirmInterval if all zones observe the
+// failure at once, and within twice the ConfirmInterval if one of them observes the zone as
+// degrading.
 func TestEvacuatesWithinConfirmInterval(t *testing.T) {
 	for _, degrading := range []bool{false, true} {
 		fleet := newTestFleet(t, 3, 2)
@@ -121,7 +124,8 @@
 	}
 }
 
-// The shed fraction adds up as more is evacuated, and follows the spare capacity of the others.
+// The shed fraction must grow with each further evacuation and follow the spare capacity of the
+// remaining zones.
 func TestShedsWhatRemainingZonesCannotCarry(t *testing.T) {
 	fleet := newTestFleet(t, 4, 2)
 	for i, tt := range []struct {
--- a/internal/fleet/zonestatus/evidence.go
+++ b/internal/fleet/zonestatus/evidence.go
@@ -3,27 +3,28 @@
 import "slices"
 
 const (
-	// minReporters is how many members of an observing zone must agree, if it has as many.
+	// minReporters is the number of members of an observing zone that must agree, if the zone
+	// has as many.
 	minReporters = 2
-	// maxFailingForRecovery is the failing fraction up to which recovery is tried.
+	// maxFailingForRecovery is the largest failing fraction at which a recovery is tried.
 	maxFailingForRecovery = 0.6
 )
 
-// pairEvidence is what one zone's members together observe of another zone.
+// pairEvidence combines the observations that one zone's members have of another zone.
 type pairEvidence struct {
-	reporters          int     // members whose observation is conclusive
+	reporters          int     // members with a conclusive observation
 	known              bool    // reporters reach the quorum
-	unavailable        bool    // the zone serves nobody from here
-	failing            float64 // fraction of its endpoints, the median of the reporters
-	receivers          int     // members whose endpoint lists name any; 0 below the quorum
-	failingUnconfirmed float64 // as failing, but the median of all receivers
-	attempts           float64 // by all of them together
+	unavailable        bool    // the zone serves no sessions from the observing zone
+	failing            float64 // fraction of the zone's endpoints, median of the reporters
+	receivers          int     // members whose endpoint lists include the zone; 0 below the quorum
+	failingUnconfirmed float64 // like failing, but the median of all receivers
+	attempts           float64 // sum over all members
 
 	unavailableReports           int
-	failingReported, failingSeen []float64 // by reporters, by receivers
+	failingReported, failingSeen []float64 // one value per reporter and per receiver
 }
 
-// add counts one member's observation; members is how many there may be.
+// add adds one member's observation. members is the expected number of observations.
 func (p *pairEvidence) add(cfg *Config, observation *Observation, members int) {
 	if observation.Endpoints == 0 {
 		return
@@ -41,9 +42,10 @@
 	}
 }
 
-// summarize turns the counts into what is known. A zone is unavailable if a quorum of members,
-// and half of those with conclusive observations, were served nothing: one false reporter is
-// never enough, and among many it takes half.
+// summarize computes the combined evidence from the added observations. A zone is unavailable if
+// a quorum of members, and at least half of those with conclusive observations, observed it as
+// unavailable. One false reporter is therefore never enough, and among many reporters half must
+// be false.
 func (p *pairEvidence) summarize(quorum int) {
 	p.reporters, p.receivers = len(p.failingReported), len(p.failingSeen)
 	p.known = p.reporters >= quorum
@@ -55,13 +57,14 @@
 	}
 }
 
-// seemsRecovered reports whether members know endpoints in the zone and no more than some fail.
+// seemsRecovered reports whether a quorum of members has endpoints of the zone in its lists, the
+// zone is not unavailable, and at most maxFailingForRecovery of the endpoints fail.
 func (p *pairEvidence) seemsRecovered() bool {
 	return p.receivers > 0 && !p.unavailable && p.failingUnconfirmed <= maxFailingForRecovery
 }
 
-// median sorts the values and returns the lower median, which is one that a member reported,
-// or fallback if there is none.
+// median sorts values and returns the lower median, which is always a value that a member
+// reported. It returns fallback if there are no values.
 func median(values []float64, fallback float64) float64 {
 	if len(values) == 0 {
 		return fallback
--- a/internal/fleet/zonestatus/guards.go
+++ b/internal/fleet/zonestatus/guards.go
@@ -1,12 +1,12 @@
 package zonestatus
 
-// Guards names the checks that a mutation can switch off, so that a scenario shows that it
-// would notice. All false in service.
+// Guards selects checks to disable. Mutations set them, so that a scenario can show that it
+// detects the missing check. All are false in production.
 type Guards struct {
-	PanicThreshold       bool // evacuate however few zones remain
+	PanicThreshold       bool // evacuate regardless of how few zones remain
 	RecoveryRamp         bool // recover at once, without evidence or rate limit
-	ReporterConnectivity bool // believe members that reach hardly any zone
-	HoldDown             bool // hold back nothing that fails again
-	ObservingZone        bool // what one zone observes holds for all
-	Quorum               bool // one member's report is enough
+	ReporterConnectivity bool // accept reports of members that reach hardly any zone
+	HoldDown             bool // do not hold back zones that fail repeatedly
+	ObservingZone        bool // apply what one zone observes to all zones
+	Quorum               bool // accept the report of a single member
 }
--- a/internal/fleet/zonestatus/invariants_test.go
+++ b/internal/fleet/zonestatus/invariants_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// faultPatterns are what a small fleet can observe for a while: for two zones, the failing
-// fraction.
+// faultPatterns are the faults that a sequence is made of. Each returns the failing fraction of
+// zone to as observed from zone from.
 var faultPatterns = map[byte]func(from, to string) float64{
 	'.': func(_, _ string) float64 { return 0 },
 	'b': func(_, to string) float64 { return indicator(to == "b") },
@@ -18,10 +18,10 @@
 	'l': func(from, to string) float64 { return indicator(from == "a" && to == "b") },
 	'i': func(from, to string) float64 { return indicator(from != to && (from == "a" || to == "a")) },
 	'h': func(_, to string) float64 { return indicator(to == "b") / 2 },
-	's': nil, // nobody reports
+	's': nil, // all members are silent
 }
 
-// faultSequences returns all sequences of three patterns.
+// faultSequences returns all sequences of three fault patterns.
 func faultSequences() (sequences []string) {
 	for a := range faultPatterns {
 		for b := range faultPatterns {
@@ -33,10 +33,10 @@
 	return sequences
 }
 
-// play has the fleet observe one pattern for a while and checks after each step that no zone
-// begins to evacuate another unless its own members are served nothing there, nor while it is
-// isolated, and that the panic threshold holds.
-func (f *testFleet) play(sequence string, pattern byte, d time.Duration) {
+// runPattern runs the fleet under one fault pattern. It checks after each step that a zone starts
+// to evacuate another only if its own members observe that zone as failing entirely and it is not
+// isolated itself, and that the panic threshold holds.
+func (f *testFleet) runPattern(sequence string, pattern byte, d time.Duration) {
 	observed := faultPatterns[pattern]
 	f.isSilent = func(string) bool { return observed == nil }
 	f.failing = func(from, to string, _ int) float64 { return observed(from, to) }
@@ -58,40 +58,42 @@
 	}
 }
 
-// All sequences of three patterns, 2.5 s each, in a fleet of three zones with two members
-// each: what play checks holds, and once all is well, all pairs are active again, with nothing
-// shed, within 45 s.
+// All sequences of three fault patterns of 2.5 s each run in a fleet of three zones with two
+// members each. The invariants of runPattern must hold, and within 45 s of the last fault all pairs
+// must be active again and nothing shed.
 func TestInvariantsForAllFaultSequences(t *testing.T) {
 	t.Parallel()
 	for _, sequence := range faultSequences() {
 		fleet := newTestFleet(t, 3, 2)
 		for i := range sequence {
-			fleet.play(sequence, sequence[i], 2500*time.Millisecond)
+			fleet.runPattern(sequence, sequence[i], 2500*time.Millisecond)
 		}
 		for end := fleet.now + 45*time.Second; fleet.now < end && !fleet.isAllActive(); {
-			fleet.play(sequence, '.', 2500*time.Millisecond)
+			fleet.runPattern(sequence, '.', 2500*time.Millisecond)
 		}
 		if !fleet.isAllActive() {
-			t.Fatalf("%s: in the end %s, %.2f shed\n%s",
+			t.Fatalf("%s: final state %s, %.2f shed\n%s",
 				sequence, describe(fleet.state), fleet.state.Shed, fleet.transcript())
 		}
 	}
 }
 
-// However gossip loses reports, whichever members it takes for dead, and whatever one false
-// member of each zone reports, a healthy fleet evacuates nothing.
+// A healthy fleet must not evacuate any zone, regardless of which reports gossip loses, which
+// members are marked as dead, and what one false reporter per zone reports.
 func TestHealthyFleetEvacuatesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
 		fleet := newTestFleet(t, rapid.IntRange(2, 6).Draw(rt, "zones"), rapid.IntRange(3, 6).Draw(rt, "members"))
-		liar := rapid.IntRange(0, 5).Draw(rt, "liar")
-		fleet.failing = func(_, _ string, m int) float64 { return indicator(m == liar && rng.Float64() < 0.8) }
+		falseReporter := rapid.IntRange(0, 5).Draw(rt, "liar")
+		fleet.failing = func(_, _ string, m int) float64 {
+			return indicator(m == falseReporter && rng.Float64() < 0.8)
+		}
 		fleet.isSilent = func(string) bool { return rng.Float64() < loss }
 		for range 60 {
 			fleet.now += 100 * time.Millisecond
 			members := fleet.members()
-			for i := range members { // but two of each zone stay
+			for i := range members { // two members of each zone stay alive
 				members[i].Alive = i%fleet.membersPerZone < 2 || rng.Float64() > loss
 			}
 			change, reason, ok := fleet.controller.Evaluate(fleet.now, fleet.state, fleet.reports(), members)
@@ -107,9 +109,9 @@
 	})
 }
 
-// Each guard prevents something that shows once it is disabled.
+// Each guard prevents a fault that must appear once the guard is disabled.
 func TestDisabledGuardShowsItsFault(t *testing.T) {
-	liar := func(_, to string, m int) float64 { return indicator(to == "b" && m == 0) }
+	falseReporter := func(_, to string, m int) float64 { return indicator(to == "b" && m == 0) }
 	everyone := func(pattern byte) func(string, string, int) float64 {
 		return func(from, to string, _ int) float64 { return faultPatterns[pattern](from, to) }
 	}
@@ -125,7 +127,7 @@
 		{"panic", Guards{PanicThreshold: true}, everyone('*'), func(f *testFleet) bool { return f.rejected > 0 }},
 		{"accuse", Guards{ReporterConnectivity: true}, everyone('i'), hasStatus("a", "c", Evacuated)},
 		{"viewpoint", Guards{ObservingZone: true}, everyone('l'), hasStatus("c", "b", Evacuated)},
-		{"quorum", Guards{Quorum: true}, liar, hasStatus("c", "b", Evacuated)},
+		{"quorum", Guards{Quorum: true}, falseReporter, hasStatus("c", "b", Evacuated)},
 		{"return", Guards{RecoveryRamp: true}, everyone('b'), func(f *testFleet) bool {
 			f.fail(0, "b")
 			f.run(time.Second)
--- a/internal/fleet/zonestatus/isolated.go
+++ b/internal/fleet/zonestatus/isolated.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// isolatedConfirmFactor is how many times the ConfirmInterval an isolated member waits, as no
-// other member confirms what it observes.
+// isolatedConfirmFactor multiplies the ConfirmInterval of an isolated member, because no other
+// member confirms its observations.
 const isolatedConfirmFactor = 3
 
-// IsolatedController decides for a member that does not receive the replicated log. It keeps
-// to the last committed state and evacuates, on the member's own evidence, one more zone or
-// region at most and never the member's own. A new version of the state or a pause between
-// calls makes it forget what it added. It is not safe for concurrent use.
+// IsolatedController decides for a member that does not receive the replicated log. It keeps the
+// last committed state and evacuates at most one more zone or region on the member's own evidence,
+// and never the member's own zone. Its local evacuation is discarded on a new version of the
+// state and after a pause between calls. It is not safe for concurrent use.
 type IsolatedController struct {
 	DisabledGuards Guards
 
 	cfg             Config
 	controller      *Controller
 	committed       State // the replicated state
-	local           State // with what this member has added
+	local           State // the committed state with the local changes applied
 	lastEvaluatedAt time.Duration
 }
 
-// NewIsolatedController returns a controller that has seen nothing yet.
+// NewIsolatedController returns a controller that has no evidence yet.
 func NewIsolatedController(cfg Config) *IsolatedController {
 	cfg = cfg.withDefaults()
 	cfg.ConfirmInterval *= isolatedConfirmFactor
 	return &IsolatedController{cfg: cfg}
 }
 
-// Evaluate returns what a node of the member's zone may send others, by zone: never more than
-// the committed state allows. now is Unix time.
+// Evaluate returns the limits on the traffic from the member's zone to other zones, sorted by
+// zone. They are never looser than those of the committed state. now is Unix time.
 func (c *IsolatedController) Evaluate(now time.Duration, state State, report Report) []TrafficLimit {
 	hasPaused := now-c.lastEvaluatedAt > c.cfg.ReportTTL || now < c.lastEvaluatedAt
 	if c.controller == nil || state.Version != c.committed.Version || hasPaused {
@@ -50,7 +50,8 @@
 	return strictest(state.TrafficLimits(report.Zone), c.local.TrafficLimits(report.Zone))
 }
 
-// strictest returns the limits of both lists, for each zone the one with the lower share.
+// strictest merges two lists of limits. For a zone in both lists it returns the limit with the
+// lower share.
 func strictest(limits, added []TrafficLimit) []TrafficLimit {
 	for _, limit := range added {
 		index := slices.IndexFunc(limits, func(other TrafficLimit) bool { return other.Zone == limit.Zone })
@@ -65,8 +66,9 @@
 	return limits
 }
 
-// limitToOneUnit keeps, of what an isolated member would evacuate, one zone or region that the
-// committed state has not evacuated, or none if the member has evacuated one already.
+// limitToOneUnit limits an isolated member's candidates to one zone or region that the committed
+// state has not evacuated. If the member has already evacuated one, only zones of the same region
+// remain.
 func (c *Controller) limitToOneUnit(view *fleetView, draft *changeDraft, from int, candidates []int) []int {
 	observer, currentUnit := view.zones[from], ""
 	for _, pair := range draft.base.Pairs {
@@ -86,8 +88,8 @@
 	})
 }
 
-// isLocalEvacuation reports whether a zone is evacuated, or recovering from it, by the local
-// status only.
+// isLocalEvacuation reports whether a zone is evacuated, or recovering from an evacuation, only
+// in the local state and not in the committed one.
 func isLocalEvacuation(committed, local Status) bool {
 	if committed.isEvacuated() {
 		return false
@@ -95,7 +97,8 @@
 	return local.isEvacuated() || local == Recovering && committed != Recovering
 }
 
-// unitOf returns what is evacuated together with a zone: its region or the zone itself.
+// unitOf returns the unit that a zone is evacuated with: its region, or the zone itself if it
+// belongs to no region.
 func (c Config) unitOf(zone string) string {
 	if region := c.RegionOf(zone); region != "" {
 		return "region " + region
--- a/internal/fleet/zonestatus/isolated_test.go
+++ b/internal/fleet/zonestatus/isolated_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// evacuatedAfter evaluates every 100 ms for a while on the evidence of the one member of zone
-// a, and returns the names of the zones that are then evacuated.
+// evacuatedAfter evaluates the reports of the only member of zone a every 100 ms for the duration
+// d. It returns the names of the zones that are evacuated at the end.
 func (f *testFleet) evacuatedAfter(c *IsolatedController, d time.Duration, state State) (names string) {
 	var limits []TrafficLimit
 	for end := f.now + d; f.now < end; {
@@ -22,9 +22,9 @@
 	return names
 }
 
-// An isolated member adds one zone to what the committed state evacuates, never its own, and
-// nothing while it reaches hardly any zone; it takes that back by ramp steps, or when it
-// receives a new version.
+// An isolated member must evacuate at most one zone more than the committed state, never its own
+// zone, and none while it reaches hardly any zone. The zone must recover by ramp steps, or at once
+// when the member receives a new version of the state.
 func TestIsolatedControllerEvacuatesOneZone(t *testing.T) {
 	committed := State{
 		Version: 3,
@@ -38,11 +38,11 @@
 		want        string
 	}{
 		{"nothing", Guards{}, "", "b"},
-		{"one more", Guards{}, "c", "bc"},
-		{"two more: one", Guards{}, "cd", "bc"},
-		{"its own", Guards{}, "a", "b"},
-		{"hardly any reached", Guards{}, "bcde", "b"},
-		{"hardly any reached, believed", Guards{ReporterConnectivity: true}, "bcde", "bc"},
+		{"one more zone", Guards{}, "c", "bc"},
+		{"two more zones: only one is evacuated", Guards{}, "cd", "bc"},
+		{"its own zone", Guards{}, "a", "b"},
+		{"hardly any zone is reached", Guards{}, "bcde", "b"},
+		{"hardly any zone is reached, guard disabled", Guards{ReporterConnectivity: true}, "bcde", "bc"},
 	} {
 		fleet := newTestFleet(t, 5, 1)
 		fleet.state = committed
@@ -55,11 +55,11 @@
 		received := committed
 		received.Version++
 		if got := fleet.evacuatedAfter(controller, 100*time.Millisecond, received); got != "b" {
-			t.Errorf("%s: evacuated %s once it receives a new version", tt.name, got)
+			t.Errorf("%s: evacuated %s after a new version was received", tt.name, got)
 		}
 		fleet.failing = func(string, string, int) float64 { return 0 }
 		if got := fleet.evacuatedAfter(controller, 30*time.Second, committed); got != "b" {
-			t.Errorf("%s: evacuated %s after all is well", tt.name, got)
+			t.Errorf("%s: evacuated %s after all zones recovered", tt.name, got)
 		}
 	}
 }
--- a/internal/fleet/zonestatus/recovery.go
+++ b/internal/fleet/zonestatus/recovery.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// stepOutcome is what the evidence says of a step of a recovery ramp.
+// stepOutcome is the outcome of one step of a recovery ramp, as judged from the evidence.
 type stepOutcome int
 
 const (
-	stepHolds stepOutcome = iota
+	stepUndecided stepOutcome = iota
 	stepSucceeds
 	stepFails
-	stepEndsPartially // no further step: the rest of the zone fails
+	stepEndsPartially // no further step, as the rest of the zone still fails
 )
 
 const (
-	// inconclusiveIntervals is how many StableIntervals a step waits for conclusive traffic:
-	// where nobody asks for sessions, little is at stake.
+	// inconclusiveIntervals is the number of StableIntervals after which a step no longer waits
+	// for MinAttempts: with so little traffic, a wrong decision affects few sessions.
 	inconclusiveIntervals = 5
-	// mostlyHealthyFailing is the failing fraction up to which the last step may succeed.
+	// mostlyHealthyFailing is the largest failing fraction at which the last step may succeed.
 	mostlyHealthyFailing = 0.25
-	// stepTolerance is by how much the healthy fraction may miss a step's share.
+	// stepTolerance is how far the healthy fraction may lie below a step's share.
 	stepTolerance = 0.1
 )
 
-// startRecoveries begins the recovery of zones that seem to serve again.
+// startRecoveries starts the recovery ramps of zones that seem to have recovered.
 func (c *Controller) startRecoveries(view *fleetView, draft *changeDraft) {
 	for to, zone := range view.zones {
 		ready := make([]bool, len(view.zones)) // by observing zone
@@ -32,8 +32,8 @@
 		var started []string
 		for from, observer := range view.zones {
 			pair := draft.base.pair(observer, zone)
-			holdIsOver := pair.Status == HeldBack && draft.now.Milliseconds() >= pair.HeldUntil
-			mayStart := pair.Status == Evacuated || holdIsOver
+			holdExpired := pair.Status == HeldBack && draft.now.Milliseconds() >= pair.HeldUntil
+			mayStart := pair.Status == Evacuated || holdExpired
 			if !mayStart || !ready[from] && view.pair(from, to).receivers > 0 {
 				continue
 			}
@@ -46,8 +46,9 @@
 	c.equalizeRates(view, draft)
 }
 
-// hasRecovered sets from which zones one has seemed recovered for the StableInterval, and
-// reports whether these are enough to start: two, or as many as evacuated it, and one of those.
+// hasRecovered sets ready for the zones from which zone to has seemed recovered for the
+// StableInterval. It reports whether these are enough to start a recovery: at least one that has
+// evacuated the zone, and minReporters in all or as many as have evacuated it, if that is fewer.
 func (c *Controller) hasRecovered(view *fleetView, draft *changeDraft, to int, ready []bool) bool {
 	evacuatedObservers, readyObservers, readyOthers := 0, 0, 0
 	for from, observer := range view.zones {
@@ -68,7 +69,7 @@
 	return readyObservers > 0 && readyObservers+readyOthers >= min(minReporters, evacuatedObservers)
 }
 
-// recoveryStep returns the pair at a step of the recovery ramp.
+// recoveryStep returns the pair at the given step of its recovery ramp.
 func (c *Controller) recoveryStep(view *fleetView, to int, pair PairStatus, step int) PairStatus {
 	return PairStatus{
 		From:     pair.From,
@@ -81,25 +82,27 @@
 	}
 }
 
-// recoveredPair returns the pair after its recovery ramp, with the share that is healthy.
+// recoveredPair returns the pair after its recovery ramp, with the healthy fraction as its share.
 func recoveredPair(pair PairStatus, evidence *pairEvidence) PairStatus {
 	share := quantizeShare(1 - evidence.failingUnconfirmed)
 	return PairStatus{From: pair.From, To: pair.To, Share: share, Failures: pair.Failures}
 }
 
-// recoveryRate is how many session set-ups a second the whole fleet may send a zone at a step.
-// All its endpoints start cold at once: each gets half of what would overload it as it warms
-// up over the steps, and half of the session store's rate is left to the other zones.
+// recoveryRate returns the number of session set-ups per second that the whole fleet may send to
+// a zone at a step. All endpoints of the zone may start cold at the same time: each one gets half
+// of the rate that would overload it at that stage of its slow start. The other half of the
+// session store's rate is left to the other zones.
 func (c *Controller) recoveryRate(view *fleetView, to, step int) float64 {
 	if c.DisabledGuards.RecoveryRamp {
 		return maxRecoveryRate
 	}
-	stats, warmth := &view.stats[to], 1.0
+	stats, capacityFraction := &view.stats[to], 1.0
 	elapsed, slowStart := float64(step-1)*c.cfg.StableInterval.Seconds(), c.cfg.SlowStartInterval.Seconds()
 	if elapsed < slowStart {
-		warmth = c.cfg.ColdCapacityFraction + (1-c.cfg.ColdCapacityFraction)*elapsed/slowStart
+		capacityFraction = c.cfg.ColdCapacityFraction + (1-c.cfg.ColdCapacityFraction)*elapsed/slowStart
 	}
-	warmEndpoints := stats.endpoints - stats.warmingUp + stats.warmingUp*min(1, c.cfg.ColdOverloadFactor*warmth/2)
+	warmEndpoints := stats.endpoints - stats.warmingUp +
+		stats.warmingUp*min(1, c.cfg.ColdOverloadFactor*capacityFraction/2)
 	rate := c.cfg.EndpointSetupRate * (1 - stats.failing) * warmEndpoints
 	if c.cfg.StoreSetupRate > 0 {
 		rate = min(rate, c.cfg.StoreSetupRate/2)
@@ -107,7 +110,7 @@
 	return min(maxRecoveryRate, max(1, math.Round(rate)))
 }
 
-// advanceRecoveries takes the next steps of recovery ramps, and takes failed ones back.
+// advanceRecoveries moves recovery ramps to the next step, or back after a failed step.
 func (c *Controller) advanceRecoveries(view *fleetView, draft *changeDraft) {
 	for to := range view.zones {
 		c.advanceRecovery(view, draft, to)
@@ -115,8 +118,8 @@
 	c.equalizeRates(view, draft)
 }
 
-// advanceRecovery moves one zone's recovering pairs. Observing zones that can't tell go with
-// those that can.
+// advanceRecovery moves the recovering pairs of one observed zone. Observing zones without
+// evidence follow those that have some.
 func (c *Controller) advanceRecovery(view *fleetView, draft *changeDraft, to int) {
 	outcomes, lastSucceeded := c.evaluateSteps(view, draft, to)
 	if outcomes == nil {
@@ -130,7 +133,7 @@
 			continue
 		}
 		evidence, outcome := view.pair(from, to), outcomes[from]
-		if outcome == stepHolds && pair.Step <= lastSucceeded && evidence.receivers == 0 {
+		if outcome == stepUndecided && pair.Step <= lastSucceeded && evidence.receivers == 0 {
 			outcome = stepSucceeds
 		}
 		waited := draft.elapsedSince(pair.ChangedAt) >= c.cfg.StableInterval
@@ -157,8 +160,8 @@
 	draft.addReason(zone, "does not hold its step: taken back", reverted)
 }
 
-// evaluateSteps returns the outcome of each observing zone's step, nil if none is recovering,
-// and the highest step that has succeeded.
+// evaluateSteps returns the step outcome by observing zone, or nil if no pair of the zone is
+// recovering, and the highest step that has succeeded.
 func (c *Controller) evaluateSteps(
 	view *fleetView, draft *changeDraft, to int,
 ) (outcomes []stepOutcome, lastSucceeded int) {
@@ -187,8 +190,8 @@
 	return outcomes, lastSucceeded
 }
 
-// evaluateStep weighs the evidence for one pair's step; attempts are those of all recovering
-// pairs of the zone.
+// evaluateStep judges one pair's step by the evidence. attempts is the number of attempts of all
+// recovering pairs of the zone.
 func (c *Controller) evaluateStep(
 	evidence *pairEvidence, draft *changeDraft, pair PairStatus, attempts float64,
 ) stepOutcome {
@@ -217,11 +220,11 @@
 	case partialFor >= c.cfg.StableInterval:
 		return stepEndsPartially
 	}
-	return stepHolds
+	return stepUndecided
 }
 
-// equalizeRates gives all recovering pairs of one zone the rate of the lowest step: the rate
-// is the whole fleet's.
+// equalizeRates gives all recovering pairs of a zone the rate of their lowest step, as the rate
+// applies to the whole fleet.
 func (c *Controller) equalizeRates(view *fleetView, draft *changeDraft) {
 	if !draft.deferrableAllowed {
 		return
--- a/internal/fleet/zonestatus/recovery_test.go
+++ b/internal/fleet/zonestatus/recovery_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recordSteps runs the fleet until zone c is at the last step of recovering b, with a new
-// leader every 3 s, and returns what the pair was on the way.
+// recordSteps runs the fleet, with a new leader every 3 s, until the pair from c to b is at the
+// last step of its recovery ramp. It returns the successive values of the pair.
 func (f *testFleet) recordSteps() (steps []PairStatus) {
 	for end := f.now + 20*time.Second; f.now < end && f.state.pair("c", "b").Step < 4; {
 		f.step(100 * time.Millisecond)
@@ -20,9 +20,9 @@
 	return steps
 }
 
-// A recovery goes by steps, no faster than the StableInterval, at the rate that cold endpoints
-// can take; what one zone alone observes is no evidence where two have evacuated; a new leader
-// goes on where the last one was.
+// A recovery must advance by single steps, at most one per StableInterval, at rates that cold
+// endpoints can handle. The observations of one zone must not start it where two zones have
+// evacuated, and a new leader must continue at the current step.
 func TestRecoversByRampSteps(t *testing.T) {
 	fleet := newTestFleet(t, 3, 2)
 	fleet.fail(1, "b")
@@ -30,7 +30,7 @@
 	fleet.failing = func(from, to string, _ int) float64 { return indicator(to == "b" && from != "a") }
 	fleet.run(10 * time.Second)
 	if got := describe(fleet.state); got != bEvacuatedByAll {
-		t.Fatalf("on one zone's evidence: %s", got)
+		t.Fatalf("with evidence of one zone only: %s", got)
 	}
 	fleet.fail(0, "b")
 	fleet.warmingUp = 4
@@ -53,24 +53,25 @@
 			t.Errorf("step %d after %d ms", i, got.ChangedAt-steps[i-1].ChangedAt)
 		}
 	}
-	fleet.fail(0.75, "b") // the healthy part can't hold the step
+	fleet.fail(0.75, "b") // the healthy part is too small for the step
 	fleet.run(2500 * time.Millisecond)
 	if pair := fleet.state.pair("c", "b"); pair.Step != 3 {
-		t.Errorf("after a partial fault: %+v", pair)
+		t.Errorf("after a partial failure: %+v", pair)
 	}
 	fleet.fail(0, "b")
 	fleet.warmingUp = 0
 	fleet.run(20 * time.Second)
 	if got := describe(fleet.state); got != "" {
-		t.Errorf("in the end: %s\n%s", got, fleet.transcript())
+		t.Errorf("final state: %s\n%s", got, fleet.transcript())
 	}
 	fleet.run(fleet.cfg.FailureResetInterval)
 	if len(fleet.state.Pairs) != 0 {
-		t.Errorf("not forgotten: %+v", fleet.state.Pairs)
+		t.Errorf("pairs not reset: %+v", fleet.state.Pairs)
 	}
 }
 
-// countEvacuations has zone b fail and recover every 5 s, and counts its evacuations.
+// countEvacuations lets zone b alternately fail and recover for 5 s each, and counts its
+// evacuations within 5 minutes.
 func countEvacuations(t *testing.T, disabled Guards) (count int, fleet *testFleet) {
 	fleet = newTestFleet(t, 3, 2)
 	fleet.controller.DisabledGuards = disabled
@@ -87,8 +88,9 @@
 	return count, fleet
 }
 
-// A zone that fails and recovers every 5 s is held back, with one more evacuation for each
-// doubling at most; without the guard it is evacuated far more often.
+// A zone that alternately fails and recovers for 5 s each must be held back, with at most one more
+// evacuation per doubling of the hold interval. Without the guard it must be evacuated at least
+// three times as often.
 func TestHoldsDownFlappingZone(t *testing.T) {
 	count, fleet := countEvacuations(t, Guards{})
 	if status := fleet.state.pair("a", "b").Status; count > 7 || status != HeldBack { // 5 + 10 + ... + 160 s
--- a/internal/fleet/zonestatus/report.go
+++ b/internal/fleet/zonestatus/report.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// Member is what membership knows of one member.
+// Member is an entry of the membership list.
 type Member struct {
 	Name, Zone string
 	Alive      bool
 }
 
-// Observation is what one member observed of one zone's endpoints lately, in counters that
-// decay within seconds.
+// Observation holds one member's recent measurements of one zone's endpoints. Its counters decay
+// within seconds.
 type Observation struct {
 	Zone           string  `json:"to"`
-	Endpoints      int     `json:"servers"`         // that its endpoint list names as ready
-	Failing        int     `json:"bad"`             // of them, those that failed most recent attempts
-	Attempted      int     `json:"tried,omitempty"` // of them, those with any recent attempt; 0 stands for all
-	Attempts       float64 `json:"asked"`           // sessions tried and failed health checks
+	Endpoints      int     `json:"servers"`         // that are ready according to the member's endpoint list
+	Failing        int     `json:"bad"`             // endpoints that failed most of their recent attempts
+	Attempted      int     `json:"tried,omitempty"` // endpoints with a recent attempt; 0 stands for all
+	Attempts       float64 `json:"asked"`           // attempted sessions and failed health checks
 	FailedAttempts float64 `json:"failed"`
-	Load           float64 `json:"load"` // mean load over capacity of those that reported one; -1 if none did
+	Load           float64 `json:"load"` // mean load over capacity, as reported; -1 if unknown
 	WarmingUp      int     `json:"cold"` // endpoints in slow start
 }
 
-// Report is one member's evidence, as gossip brings it.
+// Report holds one member's observations as they are distributed by gossip.
 type Report struct {
 	Member       string        `json:"member"`
-	Zone         string        `json:"from"` // the member's own
-	ReportedAt   time.Duration `json:"at"`   // Unix time, by the member's clock
+	Zone         string        `json:"from"` // the member's own zone
+	ReportedAt   time.Duration `json:"at"`   // Unix time by the member's clock
 	Observations []Observation `json:"sights"`
 }
 
-// Bounds of what is accepted from other members.
+// Limits on reports that are accepted from other members.
 const (
 	maxObservations   = maxZones
 	maxReports        = 4096
 	maxEndpoints      = 1e6
 	maxObservedCount  = 1e9
 	maxObservedLoad   = 1000
-	attemptsTolerance = 1e-6 // decayed counters of attempts and failures are rounded apart
+	attemptsTolerance = 1e-6 // decayed counters of attempts and failures are rounded separately
 )
 
-// isPlausible reports whether a report can be true: it comes from outside.
+// isPlausible reports whether a report's values are within their limits. Reports are untrusted
+// input.
 func (r *Report) isPlausible() bool {
 	if len(r.Observations) > maxObservations {
 		return false
@@ -75,7 +76,7 @@
 	return o.Load >= -1 && o.Load <= maxObservedLoad
 }
 
-// failingFraction is the failing part of the attempted endpoints.
+// failingFraction returns the failing fraction of the attempted endpoints.
 func (o *Observation) failingFraction() float64 {
 	if o.Attempted > 0 {
 		return min(1, float64(o.Failing)/float64(o.Attempted))
@@ -83,18 +84,20 @@
 	return float64(o.Failing) / float64(max(o.Endpoints, 1))
 }
 
-// isConclusive reports whether the member attempted enough, and enough of the endpoints.
+// isConclusive reports whether the member made at least MinAttempts attempts and reached at least
+// half of the endpoints with them.
 func (o *Observation) isConclusive(cfg *Config) bool {
 	return o.Endpoints > 0 && o.Attempts >= cfg.MinAttempts && (o.Attempted == 0 || 2*o.Attempted >= o.Endpoints)
 }
 
-// isUnavailable reports whether the zone served the member nothing.
+// isUnavailable reports whether the observation is conclusive, the failing fraction reaches the
+// UnavailableThreshold, and at least half of the attempts failed.
 func (o *Observation) isUnavailable(cfg *Config) bool {
 	return o.isConclusive(cfg) && o.failingFraction() >= cfg.UnavailableThreshold && 2*o.FailedAttempts >= o.Attempts
 }
 
-// isIsolated reports whether most zones with endpoints are unavailable to the member: then
-// the member itself may be the one that is cut off.
+// isIsolated reports whether the member observes most zones with endpoints as unavailable. The
+// member itself may then be cut off from the network.
 func (r *Report) isIsolated(cfg *Config) bool {
 	total, unavailable := 0, 0
 	for i := range r.Observations {
@@ -110,8 +113,8 @@
 	return 2*unavailable > total
 }
 
-// usableReports returns the newest valid report of each member that is alive, by name. A
-// report must name the zone that membership knows the member to be in.
+// usableReports returns the newest valid report of each member that is alive, sorted by the
+// member's name. A report's zone must be the member's zone in the membership list.
 func usableReports(cfg Config, now time.Duration, reports []Report, members []Member) []*Report {
 	zoneByMember := make(map[string]string, len(members))
 	for _, member := range members {
@@ -137,7 +140,8 @@
 	return usable
 }
 
-// isCurrent reports whether a report is neither too old nor further ahead than clocks may be.
+// isCurrent reports whether a report is not older than the ReportTTL and not from the future,
+// both within the MaxClockSkew.
 func (r *Report) isCurrent(cfg Config, now time.Duration) bool {
 	return r.ReportedAt <= now+cfg.MaxClockSkew && now-r.ReportedAt <= cfg.ReportTTL+cfg.MaxClockSkew
 }
--- a/internal/fleet/zonestatus/scale_test.go
+++ b/internal/fleet/zonestatus/scale_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// faultSchedule is an hour of faults, by the second: zones that are unavailable, and zones of
-// which half fails.
+// faultSchedule is a schedule of faults over one hour: zones that are unavailable, and zones of
+// which half of the endpoints fail.
 type faultSchedule struct {
 	rng               *rand.Rand
 	unavailable, half map[string]bool
@@ -17,19 +17,20 @@
 func (s *faultSchedule) advance(second int) {
 	switch {
 	case second%5 == 0 && second < 3000:
-		s.unavailable["c"] = second/600%2 == 1 && second/5%2 == 0 // flaps for ten minutes, twice
+		s.unavailable["c"] = second/600%2 == 1 && second/5%2 == 0 // flaps during two periods of ten minutes
 		s.unavailable["d"] = second/120%5 == 1
 		s.unavailable["e"] = second/120%5 == 1 && second > 1200
 		s.half["f"] = second/90%3 == 1
-		s.half["g"] = s.rng.IntN(2) == 0 // never the same for long
+		s.half["g"] = s.rng.IntN(2) == 0 // changes at random every 5 s
 	case second == 3000:
 		clear(s.unavailable)
 		clear(s.half)
 	}
 }
 
-// An hour of faults, 300 members in 12 zones, in seconds: the changes a minute are bounded,
-// the panic threshold holds at each version, and all is active in the end.
+// An hour of faults with 300 members in 12 zones, in steps of one second: the changes per minute
+// must be bounded, the panic threshold must hold at each version, and all pairs must be active at
+// the end.
 func TestHourOfFaultsInLargeFleet(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 12, 25)
@@ -57,7 +58,7 @@
 	}
 	healthy := evacuations["a"] + evacuations["f"] + evacuations["g"]
 	if busiestMinute > 30 || evacuations["c"] > 16 || evacuations["d"] > 5 || healthy > 0 || !fleet.isAllActive() {
-		t.Errorf("%d changes a minute, evacuations %v, in the end %s\n%s",
+		t.Errorf("%d changes in the busiest minute, evacuations %v, final state %s\n%s",
 			busiestMinute, evacuations, describe(fleet.state), fleet.transcript())
 	}
 	t.Logf("%d changes, %d in the busiest minute, evacuations %v", fleet.changes, busiestMinute, evacuations)
--- a/internal/fleet/zonestatus/shed.go
+++ b/internal/fleet/zonestatus/shed.go
@@ -3,23 +3,24 @@
 import "math"
 
 const (
-	// shedDecrease and shedIncrease are the steps by which the shed fraction follows the load.
+	// shedDecrease and shedIncrease are the steps in which the shed fraction follows the load.
 	shedDecrease, shedIncrease = 0.1, 0.05
-	// idleMargin below MaxUtilization the remaining zones have capacity again, overloadMargin
-	// above it they are overloaded.
+	// The remaining zones have spare capacity below MaxUtilization - idleMargin. They are
+	// overloaded above MaxUtilization + overloadMargin.
 	idleMargin, overloadMargin = 0.1, 0.15
 )
 
-// computeShed adds what the remaining zones can't carry of the traffic that is evacuated now.
-// A zone that serves nobody is evacuated all the same, as nothing is lost by that.
+// computeShed raises the shed fraction by the part of the newly evacuated traffic that the
+// remaining zones have no capacity for. Missing capacity does not prevent an evacuation, as the
+// sessions of an unavailable zone fail in any case.
 func (c *Controller) computeShed(view *fleetView, draft *changeDraft) {
-	moved, total := 0.0, 0.0 // in full endpoints
+	moved, total := 0.0, 0.0 // in units of one fully loaded endpoint
 	for to, zone := range view.zones {
 		used, _ := view.usedCapacity(to)
 		for from, observer := range view.zones {
 			before, after := draft.base.pair(observer, zone), draft.pair(observer, zone)
 			if before.Status.isEvacuated() {
-				continue // the remaining zones carry it already
+				continue // its traffic has already moved to the remaining zones
 			}
 			total += view.memberFractions[from] * used
 			if after.Status.isEvacuated() {
@@ -30,15 +31,15 @@
 	if moved == 0 || c.DisabledGuards.PanicThreshold {
 		return
 	}
-	uncarried := (moved - view.spareCapacity(draft.resultingPairs(), noZone)) / total
-	if uncarried > 0 {
-		shed := 1 - (1-draft.shed)*(1-uncarried) // uncarried is a fraction of what is not shed already
+	excessFraction := (moved - view.spareCapacity(draft.resultingPairs(), noZone)) / total
+	if excessFraction > 0 {
+		shed := 1 - (1-draft.shed)*(1-excessFraction) // relative to the traffic not yet shed
 		draft.shed = min(maxShed, math.Ceil(shed*shedSteps-roundingSlack)/shedSteps)
 	}
 }
 
-// relaxShed lowers the shed fraction as the remaining zones have capacity again, raises it
-// while they are overloaded, and ends it when no zone is evacuated.
+// relaxShed lowers the shed fraction when the remaining zones have spare capacity, raises it when
+// they are overloaded, and sets it to 0 when no zone is evacuated.
 func (c *Controller) relaxShed(view *fleetView, draft *changeDraft) {
 	if draft.base.Shed == 0 || draft.shed != draft.base.Shed || !draft.deferrableAllowed {
 		return
@@ -60,8 +61,8 @@
 	}
 }
 
-// remainingLoad returns the mean load of the zones that no zone evacuates, how many of them
-// have a known load, and whether any zone is evacuated.
+// remainingLoad returns the mean load of the zones that are not evacuated, how many of them have
+// a known load, and whether any zone is evacuated.
 func remainingLoad(view *fleetView, draft *changeDraft) (meanLoad float64, serving int, anyEvacuated bool) {
 	load := 0.0
 	for to, zone := range view.zones {
--- a/internal/fleet/zonestatus/state.go
+++ b/internal/fleet/zonestatus/state.go
@@ -8,40 +8,40 @@
 	"strings"
 )
 
-// State is what the replicated log holds. A pair that is not recorded is Active with share 1.
-// Pairs are sorted by From and To, and a state is never changed in place.
+// State is the replicated state. A pair that is not recorded is Active with share 1. Pairs are
+// sorted by From and To, and a state is never changed in place.
 type State struct {
 	Version uint64       `json:"version"`
 	Pairs   []PairStatus `json:"seen,omitempty"`
-	Zones   []string     `json:"zones,omitempty"` // all zones that the last change knew of, by name
-	// Shed is the fraction of all session set-ups, 0 to 1, that the remaining zones have no
-	// capacity for: nodes reject them at once, with a Retry-After.
+	Zones   []string     `json:"zones,omitempty"` // all zones that the last change listed, sorted
+	// Shed is the fraction of all session set-ups, from 0 to 1, that the remaining zones have no
+	// capacity for. Nodes reject these immediately with a Retry-After.
 	Shed float64 `json:"over,omitempty"`
 }
 
-// Change is an entry of the replicated log. It is applied as a whole or not at all.
+// Change is an entry of the replicated log. It is applied atomically.
 type Change struct {
-	BaseVersion uint64       `json:"base"`           // the State's Version it was decided on; rejected on any other
-	Set         []PairStatus `json:"set"`            // by From and To
-	Zones       []string     `json:"zones"`          // all there are, by name: the panic threshold counts them
+	BaseVersion uint64       `json:"base"`           // the State.Version that it applies to
+	Set         []PairStatus `json:"set"`            // sorted by From and To
+	Zones       []string     `json:"zones"`          // all zones, sorted; the panic threshold counts them
 	Shed        float64      `json:"over,omitempty"` // as in State
 }
 
-// TrafficLimit is what a node of one zone may send another zone.
+// TrafficLimit limits the traffic from the nodes of one zone to another zone.
 type TrafficLimit struct {
 	Zone  string  `json:"zone"`
-	Share float64 `json:"share"`          // fraction of the zone's usual traffic: 0 none, 1 all
-	Rate  float64 `json:"rate,omitempty"` // session set-ups a second by the whole fleet; 0 is unlimited
+	Share float64 `json:"share"`          // fraction of the zone's usual traffic, 0 to 1
+	Rate  float64 `json:"rate,omitempty"` // session set-ups per second of the whole fleet; 0 is unlimited
 }
 
-// Upper bounds of what a change may hold.
+// Upper bounds on the values in a change.
 const (
 	maxShed         = 0.95
 	maxFailures     = 1 << 20
-	maxRecoveryRate = 1e6 // session set-ups a second
+	maxRecoveryRate = 1e6 // session set-ups per second
 )
 
-// pair returns the status of one zone as observed from another.
+// pair returns the status of zone to as observed from zone from.
 func (s State) pair(from, to string) PairStatus {
 	low, high := 0, len(s.Pairs)
 	for low < high {
@@ -59,9 +59,9 @@
 	return PairStatus{From: from, To: to, Share: 1}
 }
 
-// Apply returns the state after a change. It rejects one with another base version, an unknown
-// name, a status that may not follow the present one, or more evacuated zones than the panic
-// threshold allows, and then returns s unchanged.
+// Apply returns the state after a change. It rejects a change with a different base version, an
+// unlisted zone, a transition that is not allowed, or more evacuated zones than the panic
+// threshold permits, and then returns s unchanged.
 func (s State) Apply(cfg Config, change Change) (State, error) {
 	cfg = cfg.withDefaults()
 	if change.BaseVersion != s.Version {
@@ -94,7 +94,7 @@
 	return next, nil
 }
 
-// checkZones checks a change's list of all zones.
+// checkZones checks the list of all zones in a change.
 func checkZones(cfg Config, zones []string) error {
 	if len(zones) == 0 || len(zones) > maxZones {
 		return fmt.Errorf("zones: %d zones are named, 1 to %d are taken", len(zones), maxZones)
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// checkTransitions checks that the pairs are sorted and that each may follow the present one.
+// checkTransitions checks that the pairs are sorted and that each is a valid transition from the
+// current pair.
 func (s State) checkTransitions(cfg Config, set []PairStatus) error {
 	for i, pair := range set {
 		if i > 0 && comparePairs(set[i-1], pair) >= 0 {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// checkPairsAreListed checks that every pair is of zones that the state lists.
+// checkPairsAreListed checks that the zones of every pair are in the state's list of zones.
 func (s State) checkPairsAreListed() error {
 	for _, pair := range s.Pairs {
 		for _, zone := range []string{pair.From, pair.To} {
@@ -135,9 +136,9 @@
 	return nil
 }
 
-// checkEvacuatedFraction is the panic threshold, as far as the state alone can tell: no
-// observing zone that the change touches evacuates more than its fraction of the zones, and
-// none evacuates all. A zone that is recovering has little capacity yet and counts too.
+// checkEvacuatedFraction enforces the panic threshold as far as the state alone allows: no
+// observing zone in the change may evacuate more than maxEvacuatedZones, and none may evacuate
+// all zones. Recovering zones are included, as they have little capacity yet.
 func (s State) checkEvacuatedFraction(cfg Config, changes []PairStatus) error {
 	maxEvacuated := cfg.maxEvacuatedZones(len(s.Zones))
 	for i, pair := range changes {
@@ -153,7 +154,8 @@
 	return nil
 }
 
-// evacuatedCount is how many zones an observing zone has evacuated or is recovering.
+// evacuatedCount returns the number of zones that are evacuated or recovering as observed from
+// one zone.
 func (s State) evacuatedCount(from string) (count int) {
 	for _, pair := range s.Pairs {
 		if pair.From == from && (pair.Status.isEvacuated() || pair.Status == Recovering) {
@@ -163,8 +165,8 @@
 	return count
 }
 
-// TrafficLimits returns what a node of one zone may send others, by name. A zone that is not
-// named has no limit. Shed, which is no zone's, is to be read from the state.
+// TrafficLimits returns the limits on the traffic from one zone to other zones, sorted by zone. A
+// zone without an entry is unlimited. Shed applies to all zones and is not included.
 func (s State) TrafficLimits(from string) (limits []TrafficLimit) {
 	for _, pair := range s.Pairs {
 		switch {
--- a/internal/fleet/zonestatus/status.go
+++ b/internal/fleet/zonestatus/status.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Status is how one zone treats another.
+// Status is the state of the traffic from an observing zone to another zone.
 type Status int
 
-// The statuses. Active and Suspect limit traffic to the pair's Share and no further; from
-// Evacuating on no new traffic is sent, except by Recovering, which sends what its ramp step
-// allows. Their numbers are on the wire, their strings are the older words.
+// The statuses. Active and Suspect limit new traffic to the pair's Share only. Recovering also
+// limits it to the rate of the ramp step. Evacuating, Evacuated and HeldBack allow no new traffic.
+// The numbers are sent on the wire; the strings, quoted below, differ from the Go names.
 const (
 	Active     Status = iota // "open"
-	Suspect                  // "suspect": unavailable, but kept by the panic threshold
-	Evacuating               // "leaving": not all nodes may have received the evacuation yet
+	Suspect                  // "suspect": unavailable, but not evacuated because of the panic threshold
+	Evacuating               // "leaving": some nodes may not have received the evacuation yet
 	Evacuated                // "left"
-	Recovering               // "returning": in its recovery ramp
-	HeldBack                 // "held": evacuated again after a recovery; not tried before HeldUntil
+	Recovering               // "returning": in a recovery ramp
+	HeldBack                 // "held": evacuated again after a recovery; no new recovery before HeldUntil
 )
 
-// String returns the word that logs, operators' calls and scenarios use for the status.
+// String returns the name of the status in logs, admin responses and scenarios.
 func (s Status) String() string {
 	if s < Active || s > HeldBack {
 		return fmt.Sprintf("posture %d", int(s))
@@ -29,19 +29,19 @@
 	return [...]string{"open", "suspect", "leaving", "left", "returning", "held"}[s]
 }
 
-// isEvacuated reports whether no new traffic is sent.
+// isEvacuated reports whether the status allows no new traffic.
 func (s Status) isEvacuated() bool { return s == Evacuating || s == Evacuated || s == HeldBack }
 
 // PairStatus is the status of zone To as observed from zone From.
 type PairStatus struct {
 	From      string  `json:"from"`
-	To        string  `json:"to"` // a zone; a region is set zone by zone, in one change
+	To        string  `json:"to"` // a zone; a region is set zone by zone in one change
 	Status    Status  `json:"posture"`
-	Share     float64 `json:"share"`           // fraction of To's usual traffic that From keeps, 0 to 1
-	Step      int     `json:"step,omitempty"`  // of the recovery ramp, from 1
-	Rate      float64 `json:"rate,omitempty"`  // session set-ups a second by the whole fleet, while recovering
-	ChangedAt int64   `json:"since"`           // Unix ms, by the proposer's clock
-	HeldUntil int64   `json:"until,omitempty"` // Unix ms: no recovery before
+	Share     float64 `json:"share"`           // fraction of its usual traffic that From sends to To, 0 to 1
+	Step      int     `json:"step,omitempty"`  // of the recovery ramp, counted from 1
+	Rate      float64 `json:"rate,omitempty"`  // session set-ups per second of the whole fleet
+	ChangedAt int64   `json:"since"`           // Unix ms by the proposer's clock
+	HeldUntil int64   `json:"until,omitempty"` // Unix ms; no recovery starts before
 	Failures  int     `json:"fails,omitempty"` // recent evacuations of the pair
 }
 
@@ -50,11 +50,11 @@
 	return cmp.Or(strings.Compare(a.From, b.From), strings.Compare(a.To, b.To))
 }
 
-// isDefault reports whether the pair says no more than one that is not recorded.
+// isDefault reports whether the pair equals an unrecorded one, apart from ChangedAt.
 func (p PairStatus) isDefault() bool { return p.Status == Active && p.Share == 1 && p.Failures == 0 }
 
-// mergePairs returns the sorted pairs with the sorted changes in their place. Pairs that are
-// as if they were not recorded are dropped.
+// mergePairs merges the sorted changes into the sorted pairs. A change replaces the pair with the
+// same zones, and default pairs are dropped.
 func mergePairs(pairs, changes []PairStatus) []PairStatus {
 	var merged []PairStatus
 	add := func(pair PairStatus) {
--- a/internal/fleet/zonestatus/testfleet_test.go
+++ b/internal/fleet/zonestatus/testfleet_test.go
@@ -10,8 +10,8 @@
 
 const startTime = 1_790_000_000 * time.Second
 
-// testFleet is a fleet whose faults a test sets: members report every 100 ms what they
-// observe, and what a Controller decides is applied at once.
+// testFleet is a simulated fleet with faults that a test sets. At each step the members' reports
+// are 100 ms old, and the change that the Controller proposes is applied immediately.
 type testFleet struct {
 	t              testing.TB
 	cfg            Config
@@ -25,7 +25,7 @@
 	warmingUp      int                                       // endpoints of each zone
 	failing        func(from, to string, member int) float64 // fraction of to's endpoints
 	isSilent       func(member string) bool
-	log            []string // the reasons of all changes, by seconds
+	log            []string // time in seconds and reason of each change
 	changes        int
 	rejected       int
 	cachedMembers  []Member
@@ -86,7 +86,7 @@
 			WarmingUp:      f.warmingUp,
 		}
 		if f.state.pair(member.Zone, to).Status.isEvacuated() && fraction < 1 {
-			observation.Attempts = 0 // answered health checks are not counted
+			observation.Attempts = 0 // successful health checks are not counted
 		}
 		report.Observations = append(report.Observations, observation)
 	}
@@ -119,17 +119,18 @@
 	}
 }
 
-// fail makes a fraction of zones' endpoints fail for everybody.
+// fail makes a fraction of the zones' endpoints fail as observed from all zones.
 func (f *testFleet) fail(fraction float64, zones ...string) {
 	f.failing = func(_, to string, _ int) float64 { return fraction * indicator(slices.Contains(zones, to)) }
 }
 
 func (f *testFleet) transcript() string { return strings.Join(f.log, "\n") }
 
-// isAllActive reports whether every pair is active with its whole share and nothing is shed.
+// isAllActive reports whether every pair is active with share 1 and nothing is shed.
 func (f *testFleet) isAllActive() bool { return describe(f.state) == "" && f.state.Shed == 0 }
 
-// describe writes the state as from>to:status, with shares that are not 1.
+// describe formats the pairs that are not active with share 1 as from>to:status. Shares below 1
+// follow the status.
 func describe(s State) string {
 	var parts []string
 	for _, pair := range s.Pairs {
--- a/internal/fleet/zonestatus/transition.go
+++ b/internal/fleet/zonestatus/transition.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// allowedTransitions lists the statuses that may follow each.
+// allowedTransitions lists the statuses that may follow each status.
 var allowedTransitions = [...][]Status{
 	Active:     {Active, Suspect, Evacuating},
 	Suspect:    {Active, Suspect, Evacuating},
@@ -17,7 +17,7 @@
 	Recovering: {Recovering, Evacuating, Active},
 }
 
-// checkTransition says why next may not take the place of old.
+// checkTransition returns an error if next may not replace old.
 func checkTransition(cfg Config, old, next PairStatus) error {
 	if next.Status < Active || next.Status > HeldBack {
 		return fmt.Errorf("%v is not known", next.Status)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// checkRecovering checks the start of a recovery ramp or a further step of it.
+// checkRecovering checks a transition to a step of a recovery ramp.
 func checkRecovering(old, next PairStatus) error {
 	switch {
 	case old.Status != Recovering && next.Step != 1:
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// checkPair checks a pair by itself: some fields have a value in certain statuses only.
+// checkPair checks the fields of a pair, some of which may be set in certain statuses only.
 func checkPair(cfg Config, pair PairStatus) error {
 	if err := checkShare(pair); err != nil {
 		return err
--- a/internal/fleet/zonestatus/validate.go
+++ b/internal/fleet/zonestatus/validate.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Limits of what the replicated state and a controller keep.
+// Limits on the size of the replicated state and of a controller.
 const (
 	maxZones     = 64
 	maxRampSteps = 16
 	maxNameBytes = 64
 )
 
-// ConfigError says which key of the configuration is invalid, and why.
+// ConfigError names the invalid key of a configuration and the reason.
 type ConfigError struct {
-	Key    string // below fleet.zones
+	Key    string // relative to fleet.zones
 	Reason string
 }
 
@@ -45,14 +45,14 @@
 
 func (c Config) validateZones() error {
 	if len(c.Zones) > maxZones {
-		return invalid("zones", "%d of them, at most %d are taken", len(c.Zones), maxZones)
+		return invalid("zones", "%d zones, at most %d are allowed", len(c.Zones), maxZones)
 	}
 	for i, zone := range c.Zones {
 		if !isValidName(zone) {
-			return invalid("zones", "%.80q is no name", zone)
+			return invalid("zones", "%.80q is not a valid name", zone)
 		}
 		if slices.Contains(c.Zones[:i], zone) {
-			return invalid("zones", "%q is there twice", zone)
+			return invalid("zones", "%q is listed twice", zone)
 		}
 	}
 	return nil
@@ -63,16 +63,16 @@
 	for _, region := range c.regionNames() {
 		key := "regions." + region
 		if !isValidName(region) || len(c.Regions[region]) == 0 {
-			return invalid(key, "a region has a name and a zone at least")
+			return invalid(key, "a region needs a valid name and at least one zone")
 		}
 		for _, zone := range c.Regions[region] {
 			switch other, assigned := regionByZone[zone]; {
 			case !isValidName(zone):
-				return invalid(key, "%.80q is no zone's name", zone)
+				return invalid(key, "%.80q is not a valid zone name", zone)
 			case assigned:
 				return invalid(key, "zone %q is in %q already", zone, other)
 			case len(c.Zones) > 0 && !slices.Contains(c.Zones, zone):
-				return invalid(key, "zone %q is none of fleet.zones.zones", zone)
+				return invalid(key, "zone %q is not listed in fleet.zones.zones", zone)
 			}
 			regionByZone[zone] = region
 		}
@@ -118,7 +118,7 @@
 		{"bears", c.EndpointSetupRate, 0.01, 1e6},
 		{"store", c.StoreSetupRate, 0, 1e6},
 	} {
-		if !(setting.value >= setting.lower && setting.value <= setting.upper) { // NaN is outside too
+		if !(setting.value >= setting.lower && setting.value <= setting.upper) { // also rejects NaN
 			return invalid(setting.key, "%v is outside %v to %v", setting.value, setting.lower, setting.upper)
 		}
 	}
@@ -127,7 +127,7 @@
 
 func (c Config) validateRampSteps() error {
 	if len(c.RampSteps) > maxRampSteps {
-		return invalid("steps", "%d of them, at most %d are taken", len(c.RampSteps), maxRampSteps)
+		return invalid("steps", "%d steps, at most %d are allowed", len(c.RampSteps), maxRampSteps)
 	}
 	for i, share := range c.RampSteps {
 		if !(share > 0 && share <= 1) || i > 0 && share <= c.RampSteps[i-1] {
--- a/internal/fleet/zonestatus/validate_test.go
+++ b/internal/fleet/zonestatus/validate_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("%q: %v", key, err)
 		}
 		if invalid := new(ConfigError); err != nil && !errors.As(err, &invalid) {
-			t.Errorf("%q: %T is no ConfigError", key, err)
+			t.Errorf("%q: %T is not a ConfigError", key, err)
 		}
 	}
 }
--- a/internal/fleet/zonestatus/view.go
+++ b/internal/fleet/zonestatus/view.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// zoneStats describes one zone, by the medians over all reports.
+// zoneStats holds one zone's medians over all reports.
 type zoneStats struct {
 	endpoints float64
 	warmingUp float64 // endpoints in slow start
-	load      float64 // over capacity; -1 if nobody knows it
+	load      float64 // ratio of load to capacity; -1 if unknown
 	failing   float64 // fraction of the endpoints
 }
 
-// fleetView is what all reports together say at one time. Zones are referred to by their
-// index in zones.
+// fleetView combines all reports at one point in time. Zones are identified by their index in
+// zones.
 type fleetView struct {
 	cfg             Config
 	guards          Guards
 	zones           []string
 	regions         []string       // by zone
 	aliveMembers    []int          // by zone
-	memberFractions []float64      // of all members that are alive, by zone
+	memberFractions []float64      // fraction of all live members, by zone
 	hasMembers      []bool         // whether the zone has or had members
-	pairs           []pairEvidence // from * len(zones) + to
+	pairs           []pairEvidence // indexed by from*len(zones) + to
 	stats           []zoneStats
 }
 
-// newFleetView makes one view of all reports.
+// newFleetView combines the usable reports into one view.
 func newFleetView(
 	cfg Config, guards Guards, now time.Duration, state State, allReports []Report, members []Member,
 ) *fleetView {
@@ -54,7 +54,7 @@
 
 func (v *fleetView) pair(from, to int) *pairEvidence { return &v.pairs[from*len(v.zones)+to] }
 
-// quorum is how many members of a zone must agree.
+// quorum returns how many members of a zone must agree.
 func (v *fleetView) quorum(from int) int {
 	if v.guards.Quorum {
 		return 1
@@ -62,8 +62,8 @@
 	return max(1, min(minReporters, v.aliveMembers[from]))
 }
 
-// nameZones lists the zones: those of the state first, then those of members and those that
-// two reports name, up to maxZones.
+// nameZones sets the list of zones. Zones of the state have precedence; then come the members'
+// zones and those that minReporters reports name, up to maxZones.
 func (v *fleetView) nameZones(state State, reports []*Report, members []Member) {
 	mentions := map[string]int{}
 	for _, report := range reports {
@@ -89,8 +89,8 @@
 	v.zones = slices.Sorted(maps.Keys(known))
 }
 
-// countMembers counts each zone's members, and the fraction of all that are alive: it stands
-// for the zone's part of all session set-ups.
+// countMembers counts each zone's live members and computes their fraction of all live members,
+// which approximates the zone's fraction of all session set-ups.
 func (v *fleetView) countMembers(zoneIndex map[string]int, state State, members []Member) {
 	v.aliveMembers, v.hasMembers = make([]int, len(v.zones)), make([]bool, len(v.zones))
 	alive := 0
@@ -114,8 +114,8 @@
 	}
 }
 
-// addReports counts the reports by pair, and returns which zones' members are mostly isolated.
-// A few isolated members in a zone that is not are ignored.
+// addReports adds the reports to the pairs' evidence. It returns which zones are isolated, that
+// is, at least half of their reporters are. Isolated members of other zones are ignored.
 func (v *fleetView) addReports(zoneIndex map[string]int, reports []*Report) (isolatedZones []bool) {
 	reporters, isolatedReporters := make([]int, len(v.zones)), make([]int, len(v.zones))
 	isolated := make([]bool, len(reports))
@@ -149,7 +149,7 @@
 	return isolatedZones
 }
 
-// collectStats takes the medians of what there is in each zone.
+// collectStats computes the statistics of each zone.
 func (v *fleetView) collectStats(zoneIndex map[string]int, reports []*Report) {
 	type samples struct{ endpoints, warmingUp, loads, failing []float64 }
 	collected := make([]samples, len(v.zones))
