--- a/internal/fleet/slo/aggregator.go
+++ b/internal/fleet/slo/aggregator.go
@@ -11,33 +11,33 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Observation is what all members of a zone measured for a contract in a region in one
-// interval that is over.
+// Observation is the merged measurement of all members of a zone for one contract in one region
+// and one completed interval.
 type Observation struct {
 	Zone      string
 	Contract  string
 	Region    string
-	Interval  int64 // its number
-	Members   int   // of all zones, that measured it
+	Interval  int64 // number of the interval
+	Members   int   // number of members, in all zones, that measured the contract in the region
 	Histogram Histogram
 }
 
 const (
-	// maxMedianMultiple is how many times the median of all members' counts of a pair one
-	// member counts at most.
+	// maxMedianMultiple limits the weight of one member: its count for a pair of contract and
+	// region is capped at this multiple of the median of all members' counts.
 	maxMedianMultiple = 3
 	maxMembers        = 1024
 )
 
 // Aggregator merges members' samples. It is not safe for concurrent use.
 type Aggregator struct {
-	// Dropped is how many measurements members dropped in the intervals closed last.
+	// Dropped is the number of measurements that members dropped in the last closed intervals.
 	Dropped int
 
 	cfg           Config
-	samples       map[int64]map[string]*Sample // by interval and member
-	lastClosed    int64                        // interval
-	internedNames map[string]string            // one copy of each known name
+	samples       map[int64]map[string]*Sample // by interval and member name
+	lastClosed    int64                        // number of the interval
+	internedNames map[string]string            // one shared copy of each known name
 }
 
 // NewAggregator returns an aggregator without samples.
@@ -45,8 +45,7 @@
 	return &Aggregator{cfg: cfg, samples: map[int64]map[string]*Sample{}, internedNames: map[string]string{}}
 }
 
-// SetContracts takes the contracts and regions that count from now on. Measurements of others
-// are ignored.
+// SetContracts sets the known contracts and regions. Measurements of others are ignored.
 func (a *Aggregator) SetContracts(state State, regions []Region) {
 	clear(a.internedNames)
 	for _, contract := range state.Contracts {
@@ -57,9 +56,9 @@
 	}
 }
 
-// Merge takes a sample of a member that membership knows, in any order and repeatedly. The
-// error says why a sample is rejected; isNew is false for one that came before, too late or
-// too early.
+// Merge adds a sample of a member in the membership list. Samples may arrive in any order and more
+// than once; isNew is false for a sample that is a duplicate, outdated, too late or too early. An
+// invalid sample is rejected with an error.
 func (a *Aggregator) Merge(now time.Duration, sample Sample) (isNew bool, err error) {
 	if err := sample.validate(a.cfg.MaxMeasurements); err != nil {
 		return false, err
@@ -79,19 +78,20 @@
 		return false, nil
 	}
 	if previous == nil && len(members) >= maxMembers {
-		return false, fmt.Errorf("sample of member %q: %d members have told already", sample.Member, len(members))
+		return false, fmt.Errorf("sample of member %q: %d members have reported already",
+			sample.Member, len(members))
 	}
 	sample.Measurements = a.knownMeasurements(&sample)
 	members[sample.Member] = &sample
 	return true, nil
 }
 
-// lastDue is the last interval for which no more samples are waited for.
+// lastDue returns the last interval for which the LateSampleTimeout is over.
 func (a *Aggregator) lastDue(now time.Duration) int64 {
 	return a.cfg.interval(now-a.cfg.LateSampleTimeout) - 1
 }
 
-// knownMeasurements returns a sample's measurements of known contracts and regions.
+// knownMeasurements returns the measurements of a sample whose contract and region are known.
 func (a *Aggregator) knownMeasurements(sample *Sample) []Measurement {
 	kept := make([]Measurement, 0, len(sample.Measurements))
 	for _, measurement := range sample.Measurements {
@@ -104,8 +104,8 @@
 	return kept
 }
 
-// CloseIntervals returns, once, the observations of the intervals for which no more samples
-// are taken, sorted by interval, contract, region and zone.
+// CloseIntervals closes the intervals for which the LateSampleTimeout is over. It returns their
+// observations, sorted by interval, contract, region and zone, and returns each of them only once.
 func (a *Aggregator) CloseIntervals(now time.Duration) (observations []Observation) {
 	lastDue := a.lastDue(now)
 	if lastDue <= a.lastClosed {
@@ -121,7 +121,7 @@
 	return observations
 }
 
-// zoneHistogram is one member's histogram, with the member's zone.
+// zoneHistogram is one member's histogram together with the member's zone.
 type zoneHistogram struct {
 	zone      string
 	histogram Histogram
@@ -161,7 +161,8 @@
 	return observations
 }
 
-// mergeByZone adds up members' histograms by zone, each limited to a multiple of the median.
+// mergeByZone merges the members' histograms by zone. Each one's count is limited to
+// maxMedianMultiple times the median of all counts.
 func mergeByZone(reported []zoneHistogram) map[string]*hdr.PackedHistogram {
 	counts := make([]int64, len(reported))
 	for i, member := range reported {
@@ -174,12 +175,13 @@
 		if merged[member.zone] == nil {
 			merged[member.zone] = newPackedHistogram()
 		}
-		_ = member.histogram.addTo(merged[member.zone], limit) // plausible ones lie within the buckets
+		_ = member.histogram.addTo(merged[member.zone], limit) // plausible values lie within the buckets
 	}
 	return merged
 }
 
-// intern returns the one copy of a name, so that what is kept holds no sample's memory.
+// intern returns the shared copy of a name, so that observations do not keep a sample's memory
+// alive.
 func (a *Aggregator) intern(name string) string {
 	if interned, ok := a.internedNames[name]; ok {
 		return interned
@@ -187,7 +189,7 @@
 	return name
 }
 
-// PendingMeasurements is how many measurements wait for their interval's end.
+// PendingMeasurements returns the number of measurements in intervals that are not closed yet.
 func (a *Aggregator) PendingMeasurements() (count int) {
 	for _, members := range a.samples {
 		for _, sample := range members {
--- a/internal/fleet/slo/aggregator_test.go
+++ b/internal/fleet/slo/aggregator_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// startTime is when an interval begins.
+// startTime is the start of an interval.
 const startTime = 1_000_000 * 5 * time.Second
 
 func newTestAggregator(contracts ...string) *Aggregator {
@@ -24,7 +24,8 @@
 	return aggregator
 }
 
-// recordedSample is a member's sample of the interval at startTime, with count equal times.
+// recordedSample returns a member's sample of the interval at startTime, with count equal response
+// times.
 func recordedSample(member string, incarnation int64, responseTime time.Duration, count int) Sample {
 	recorder := NewRecorder(DefaultConfig(), member, "z", incarnation)
 	recorder.SetContracts(State{Contracts: []Contract{{Name: "k"}}})
@@ -52,7 +53,7 @@
 			member := rapid.IntRange(0, 3).Draw(rt, "member")
 			incarnation := rapid.IntRange(1, 2).Draw(rt, "boot")
 			seq := rapid.IntRange(1, 3).Draw(rt, "seq")
-			// The same numbers always stand for the same sample.
+			// Equal numbers always yield an equal sample.
 			responseTime := time.Duration(member+7*incarnation+50*seq) * time.Millisecond
 			sample := recordedSample(fmt.Sprint("n", member), int64(incarnation), responseTime, member+incarnation+seq)
 			sample.Seq = uint64(seq)
@@ -79,15 +80,15 @@
 	})
 }
 
-// A valid histogram comes out as it went in, and a member that lies counts three times the
-// median at most.
+// Valid histograms must be merged unchanged, and the count of a member with a false sample must be
+// limited to three times the median.
 func TestClampsFalseSamples(t *testing.T) {
 	aggregator := newTestAggregator("k")
 	for i := range 4 {
 		merge(t, aggregator, recordedSample(fmt.Sprint("n", i), 1, 20*time.Millisecond, 10))
 	}
 	if !merge(t, aggregator, recordedSample("liar", 1, time.Minute, 500)) {
-		t.Fatal("the liar's sample is not new")
+		t.Fatal("the false sample is not new")
 	}
 	observations := aggregator.CloseIntervals(startTime + 15*time.Second)
 	if len(observations) != 1 {
@@ -99,19 +100,21 @@
 	}
 }
 
-// What can't be true is rejected, and the error names the member.
+// Invalid samples must be rejected with an error that names the member.
 func TestRejectsInvalidSamples(t *testing.T) {
 	valid := recordedSample("liar", 1, time.Minute, 500).Measurements[0].Histogram
 	one := func(regionIndex int, histogram Histogram) func(*Sample) {
 		return func(s *Sample) { s.Measurements = []Measurement{{"k", regionIndex, histogram}} }
 	}
 	for want, edit := range map[string]func(*Sample){
-		"region 3":       one(3, valid),
-		"no histogram":   one(0, Histogram{10, 0}),
-		"or a second":    func(s *Sample) { s.Measurements = []Measurement{s.Measurements[0], s.Measurements[0]} },
-		"cells, at most": func(s *Sample) { s.Measurements = slices.Repeat(s.Measurements, 1025) },
-		"no histogram, ": one(0, Histogram{10, 0xff, 0xff, 0xff, 0x7f}), // an absurd count
-		"contract \"k\"": one(0, Histogram{0xff, 0xff, 0xff, 1, 1}),     // beyond the longest time
+		"region index 3":       one(3, valid),
+		"invalid or duplicate": one(0, Histogram{10, 0}),
+		"or duplicate": func(s *Sample) {
+			s.Measurements = []Measurement{s.Measurements[0], s.Measurements[0]}
+		},
+		"measurements, at most": func(s *Sample) { s.Measurements = slices.Repeat(s.Measurements, 1025) },
+		"duplicate histogram":   one(0, Histogram{10, 0xff, 0xff, 0xff, 0x7f}), // count above the limit
+		"contract \"k\"":        one(0, Histogram{0xff, 0xff, 0xff, 1, 1}),     // above maxResponseTime
 	} {
 		sample := recordedSample("n9", 1, time.Second, 1)
 		edit(&sample)
--- a/internal/fleet/slo/allocate.go
+++ b/internal/fleet/slo/allocate.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// allocate places all contracts: by priority those whose objective can be met, then the
-// others. Within a priority all keep their regions first, so that little is moved; what comes
-// later never takes from what came before.
+// allocate places all contracts, first those whose objective can be met and then the others, both
+// by priority. Within a priority, all contracts first retain their current regions, so that few
+// sessions are moved. A later contract never takes capacity from an earlier one.
 func (c *Controller) allocate(placements []*placement, regions []regionCapacity) {
 	queue := slices.Clone(placements)
 	slices.SortFunc(queue, func(a, b *placement) int {
@@ -37,7 +37,8 @@
 	}
 }
 
-// effectivePriority is the contract's priority, after all others if its objective can't be met.
+// effectivePriority returns the contract's priority. A contract whose objective can't be met comes
+// after all those whose objective can be met.
 func (p *placement) effectivePriority() int {
 	if p.lastUnmetReason != "" {
 		return math.MaxInt32 + p.contract.Priority
@@ -45,7 +46,8 @@
 	return p.contract.Priority
 }
 
-// retain keeps what a contract has where the region has capacity for it; the rest is unplaced.
+// retain keeps a contract's current shares where the regions have capacity for them. The rest is
+// unplaced.
 func (c *Controller) retain(p *placement, regions []regionCapacity) {
 	p.next, p.overflow = make([]int, len(regions)), make([]int, len(regions))
 	p.unplaced = thousandths
@@ -53,7 +55,7 @@
 		share := 0
 		switch {
 		case !p.maySteer:
-			share = p.current[r] // it goes there whatever is decided here
+			share = p.current[r] // the current allocation can't be changed yet
 		case !p.allowed[r] || !regions[r].usable:
 		case c.DisabledGuards.CapacityLimits:
 			share = p.current[r]
@@ -64,16 +66,17 @@
 		p.unplaced -= share
 		regions[r].reserve(p, share)
 	}
-	if !p.maySteer && p.unplaced > 0 { // its allocation names regions that are gone
+	if !p.maySteer && p.unplaced > 0 { // its allocation includes regions that no longer exist
 		p.unplaced = 0
 	}
 }
 
-// placeRemainder finds capacity for what is unplaced. It has to move anyway, as its region is
-// evacuated or full, so no step bounds it. What fits nowhere becomes overflow.
+// placeRemainder places the unplaced part of a contract. It is not limited by MaxMoveFraction,
+// because the part has to move: its region is evacuated or full. The part that no region has
+// capacity for becomes overflow.
 func (c *Controller) placeRemainder(p *placement, regions []regionCapacity) {
 	ranked := p.rankedRegions(regions)
-	for _, aboveLimit := range []bool{false, true} { // to MaxUtilization everywhere before above it anywhere
+	for _, aboveLimit := range []bool{false, true} { // fill all regions up to MaxUtilization first
 		for _, r := range ranked {
 			share := regions[r].fits(p, p.unplaced)
 			if !aboveLimit {
@@ -98,18 +101,19 @@
 	}
 }
 
-// overflowInto puts what fits nowhere where it was, or else by the regions' capacities. Nodes
-// that shed load shed these sessions first.
+// overflowInto distributes the part that no region has capacity for: to its current regions first,
+// and the rest in proportion to the regions' capacities. Nodes that shed load shed the overflow
+// first.
 func (p *placement) overflowInto(regions []regionCapacity, ranked []int) {
 	for _, r := range ranked {
 		share := min(max(p.current[r]-p.next[r], 0), p.unplaced)
 		p.overflow[r] = share
 		p.unplaced -= share
 	}
-	const leastWeight = 1e-6 // a region without capacity takes its part too
+	const minWeight = 1e-6 // regions without capacity also receive a part
 	weights := make([]float64, len(regions))
 	for _, r := range ranked {
-		weights[r] = regions[r].capacity + leastWeight
+		weights[r] = regions[r].capacity + minWeight
 	}
 	for r, share := range apportion(p.unplaced, weights) {
 		p.overflow[r] += share
@@ -117,7 +121,8 @@
 	p.unplaced = 0
 }
 
-// apportion cuts a total into parts by weights; the rest goes to the greatest remainders.
+// apportion divides a total in proportion to the weights. The units left over by rounding down go
+// to the largest remainders.
 func apportion(total int, weights []float64) []int {
 	parts, sum := make([]int, len(weights)), 0.0
 	for _, weight := range weights {
@@ -126,22 +131,22 @@
 	if sum <= 0 {
 		return parts
 	}
-	left, order, remainders := total, make([]int, len(weights)), make([]float64, len(weights))
+	remaining, order, remainders := total, make([]int, len(weights)), make([]float64, len(weights))
 	for i, weight := range weights {
 		exact := float64(total) * weight / sum
 		parts[i], order[i] = int(exact), i
 		remainders[i] = exact - float64(parts[i])
-		left -= parts[i]
+		remaining -= parts[i]
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
-	for i := 0; left > 0; i++ {
+	for i := 0; remaining > 0; i++ {
 		parts[order[i%len(order)]]++
-		left--
+		remaining--
 	}
 	return parts
 }
 
-// joinRegionNames lists the regions' names for a reason, a few of them at most.
+// joinRegionNames joins the names of the regions, up to maxNames of them, for use in a reason.
 func joinRegionNames(regions []regionCapacity, indexes []int) (joined string) {
 	const maxNames = 4
 	for i, r := range slices.Sorted(slices.Values(indexes)) {
--- a/internal/fleet/slo/allocate_test.go
+++ b/internal/fleet/slo/allocate_test.go
@@ -51,7 +51,7 @@
 	return p
 }
 
-// drawPlacements draws regions and placements that no rule forbids.
+// drawPlacements draws arbitrary valid regions and placements.
 func drawPlacements(t *rapid.T) (placements []*placement, regions []regionCapacity) {
 	regions = drawRegions(t)
 	for i := range rapid.IntRange(1, 8).Draw(t, "contracts") {
@@ -70,8 +70,8 @@
 	return clones
 }
 
-// checkPlacement checks that shares add up and, where there is ample capacity, that nothing
-// overflows and no more than a step is moved unless a region can't be used.
+// checkPlacement checks that the shares add up. If capacity is ample, it also checks that nothing
+// overflows and that no more than one step is moved, unless a current region can't be used.
 func checkPlacement(t *rapid.T, p *placement, regions []regionCapacity, ample bool) {
 	sum, forced, moved := 0, false, 0
 	for r, region := range regions {
@@ -86,12 +86,12 @@
 		t.Fatalf("%s: %d thousandths moved at once", p.contract.Name, moved)
 	}
 	if ample && len(p.rankedRegions(regions)) > 0 && slices.Max(p.overflow) > 0 {
-		t.Fatalf("%s: %v overflows where there is capacity for all", p.contract.Name, p.overflow)
+		t.Fatalf("%s: %v overflows despite ample capacity", p.contract.Name, p.overflow)
 	}
 }
 
-// Whatever there is and wherever it may go: no region is given more than its capacity, and what
-// checkPlacement checks holds.
+// For arbitrary regions and placements, no region may be given more than its capacity, and the
+// checks of checkPlacement must hold.
 func TestAllocationStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placements, regions := drawPlacements(t)
@@ -114,14 +114,14 @@
 		}
 		for r, region := range regions {
 			if load[r] > region.capacity*(1+1e-6)+1e-6 {
-				t.Fatalf("%s has a capacity of %.3f and is given %.3f", region.name, region.capacity, load[r])
+				t.Fatalf("%s: capacity %.3f, allocated %.3f", region.name, region.capacity, load[r])
 			}
 		}
 	})
 }
 
-// What a contract gets does not depend on any of lower priority, and that of contracts whose
-// objective can be met not on the others.
+// The allocation of a contract must not depend on contracts of lower priority. The allocation of a
+// contract whose objective can be met must not depend on those whose objective can't be met.
 func TestLowerPriorityTakesNothingFromHigher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placements, regions := drawPlacements(t)
@@ -134,7 +134,7 @@
 		controller.allocate(some, slices.Clone(regions))
 		for i, p := range clonePlacements(all, isHigher) {
 			if !slices.Equal(p.next, some[i].next) || !slices.Equal(p.overflow, some[i].overflow) {
-				t.Fatalf("%s gets %v beside the others and %v without", p.contract.Name, p.next, some[i].next)
+				t.Fatalf("%s: %v with the others, %v without", p.contract.Name, p.next, some[i].next)
 			}
 		}
 	})
--- a/internal/fleet/slo/allocation.go
+++ b/internal/fleet/slo/allocation.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// checkZones says which of the zones a contract may not use.
+// checkZones returns an error for the first zone that the contract may not use.
 func (c *Contract) checkZones(shares Shares) error {
 	for _, zone := range slices.Sorted(maps.Keys(shares)) {
 		if len(c.Zones) > 0 && !slices.Contains(c.Zones, zone) {
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// toThousandths returns a share in whole thousandths, or false for what is none.
+// toThousandths returns a share rounded to thousandths, or false if it is not within 0 to 1.
 func toThousandths(share float64) (int, bool) {
 	if !(share >= 0 && share <= 1) {
 		return 0, false
@@ -25,7 +25,7 @@
 	return int(math.Round(share * thousandths)), true
 }
 
-// normalize checks an allocation and rounds its shares to thousandths, in a map of its own.
+// normalize checks an allocation and replaces its shares by a copy rounded to thousandths.
 func (a *Allocation) normalize(contract *Contract) error {
 	if len(a.Shares) > maxZones {
 		return fmt.Errorf("contract %q: %d zones, at most %d", contract.Name, len(a.Shares), maxZones)
@@ -52,7 +52,7 @@
 	return contract.checkZones(shares)
 }
 
-// encodedSize is an ample estimate of the allocation's JSON, in bytes.
+// encodedSize returns a generous estimate of the size of the allocation's JSON, in bytes.
 func (a *Allocation) encodedSize() int {
 	const fieldBytes, bytesPerShare = 120, 10
 	size := fieldBytes + len(a.Contract) + len(a.UnmetReason)
--- a/internal/fleet/slo/capacity.go
+++ b/internal/fleet/slo/capacity.go
@@ -7,24 +7,25 @@
 	"slices"
 )
 
-// roundingSlack keeps floating point errors from costing a thousandth.
+// roundingSlack keeps floating point errors from rounding down a share by one thousandth.
 const roundingSlack = 1e-9
 
-// maxRate is the greatest rate that is believed, in session set-ups a second.
+// maxRate is the largest rate accepted as input, in session set-ups per second.
 const maxRate = 1e12
 
-// regionCapacity is a region as it fills up, in session set-ups a second.
+// regionCapacity is the remaining capacity of a region during an allocation, in session set-ups
+// per second.
 type regionCapacity struct {
 	name       string
 	usable     bool
 	capacity   float64
-	spare      float64 // left of capacity
-	headroom   float64 // left of the part up to which contracts are moved in
-	inflowLeft float64 // left of what may be moved in now
-	displaced  float64 // moved in, and not yet made way for by contracts of lower priority
+	spare      float64 // remaining capacity
+	headroom   float64 // remaining capacity up to MaxUtilization
+	inflowLeft float64 // remaining rate that may be moved in now
+	displaced  float64 // rate moved in that contracts of lower priority must still give up
 }
 
-// sanitizedRate is a rate from outside, 0 if it can't be true.
+// sanitizedRate returns an untrusted rate, or 0 if it is not between 0 and maxRate.
 func sanitizedRate(rate float64) float64 {
 	if rate > 0 && rate <= maxRate {
 		return rate
@@ -32,7 +33,8 @@
 	return 0
 }
 
-// regionCapacities returns the regions by name, without the traffic under contract.
+// regionCapacities returns the capacities of the regions, sorted by name, before any contract is
+// placed.
 func (c *Controller) regionCapacities(regions []Region) []regionCapacity {
 	byName := map[string]regionCapacity{}
 	for _, region := range regions {
@@ -49,7 +51,7 @@
 			headroom:   capacity*c.cfg.MaxUtilization - otherTraffic,
 			inflowLeft: capacity * c.cfg.MaxInflowFraction,
 		}
-		if region.Load > 1 { // the capacity is overestimated, or other traffic fills it
+		if region.Load > 1 { // the capacity is overestimated or used by other traffic
 			r.headroom, r.inflowLeft = 0, 0
 		}
 		byName[region.Name] = r
@@ -57,42 +59,45 @@
 	return slices.SortedFunc(maps.Values(byName), func(a, b regionCapacity) int { return cmp.Compare(a.name, b.name) })
 }
 
-// fitting is how many thousandths, up to limit, a spare rate takes.
-func fitting(spare, ratePerThousandth float64, limit int) int {
+// fittingShare returns how many thousandths of a contract, up to limit, fit into a spare rate.
+func fittingShare(spare, ratePerThousandth float64, limit int) int {
 	if ratePerThousandth <= 0 {
 		return limit
 	}
 	return int(min(max(math.Floor(spare/ratePerThousandth+roundingSlack), 0), float64(limit)))
 }
 
-// reserve takes a share of a contract into the region, or out of it if share is negative.
+// reserve subtracts a contract's share from the remaining capacity. A negative share releases
+// capacity.
 func (r *regionCapacity) reserve(p *placement, share int) {
 	rate := float64(share) * p.ratePerThousandth
 	r.spare -= rate
 	r.headroom -= rate
 }
 
-// fits is how much of a contract's share still fits. A contract whose objective can't be met
-// gets only what lies below MaxUtilization, so that it makes no region slow for the others.
+// fits returns how much of a contract's share fits into the region. A contract whose objective
+// can't be met may fill the region only up to MaxUtilization, so that it does not slow down the
+// other contracts.
 func (r *regionCapacity) fits(p *placement, share int) int {
 	if p.lastUnmetReason != "" {
 		return r.fitsBelowLimit(p, share)
 	}
-	return fitting(r.spare, p.ratePerThousandth, share)
+	return fittingShare(r.spare, p.ratePerThousandth, share)
 }
 
-// fitsBelowLimit is how much of a contract's share fits below MaxUtilization.
+// fitsBelowLimit returns how much of a contract's share fits below MaxUtilization.
 func (r *regionCapacity) fitsBelowLimit(p *placement, share int) int {
-	return fitting(min(r.spare, r.headroom), p.ratePerThousandth, share)
+	return fittingShare(min(r.spare, r.headroom), p.ratePerThousandth, share)
 }
 
-// fitsInflow is how much of a contract's share may be moved into the region now.
+// fitsInflow returns how much of a contract's share may be moved into the region now.
 func (r *regionCapacity) fitsInflow(p *placement, share int) int {
-	return fitting(min(r.headroom, r.inflowLeft), p.ratePerThousandth, share)
+	return fittingShare(min(r.headroom, r.inflowLeft), p.ratePerThousandth, share)
 }
 
-// retained is how much of its share a contract keeps in the region. It may stay above
-// MaxUtilization, but makes way for contracts of higher priority that were moved in.
+// retained returns how much of its share a contract keeps in the region. The contract may keep
+// capacity above MaxUtilization, but gives up the capacity that contracts of higher priority were
+// moved into.
 func (r *regionCapacity) retained(p *placement, share int) int {
 	share = r.fits(p, share)
 	rate := float64(share) * p.ratePerThousandth
--- a/internal/fleet/slo/config.go
+++ b/internal/fleet/slo/config.go
@@ -5,38 +5,42 @@
 	"time"
 )
 
-// Config is the same on all members.
+// Config holds the settings of objective steering. It must be equal on all members.
 type Config struct {
-	// SampleInterval is the time whose measurements are reported and merged as one.
+	// SampleInterval is the period whose measurements are reported and merged together.
 	SampleInterval time.Duration
-	// EvidenceIntervals is how many of the last intervals are evidence.
+	// EvidenceIntervals is the number of latest merged intervals that are used as evidence.
 	EvidenceIntervals int
-	// LateSampleTimeout is how long samples are waited for after an interval's end.
+	// LateSampleTimeout is how long samples are accepted after the end of their interval.
 	LateSampleTimeout time.Duration
-	// MaxMeasurements is how many pairs of contract and region a sample holds at most.
+	// MaxMeasurements is the maximum number of pairs of contract and region in a sample.
 	MaxMeasurements int
-	// ZScore is how many standard deviations a verdict needs.
+	// ZScore is the confidence that a verdict needs, in standard deviations.
 	ZScore float64
-	// MinSamples is how many response times within the evidence make a region measured.
+	// MinSamples is the number of response times in the evidence from which on a region counts as
+	// measured.
 	MinSamples float64
-	// MoveInterval is the time between two moves of one contract.
+	// MoveInterval is the minimum time between two moves of the same contract.
 	MoveInterval time.Duration
-	// MaxMoveFraction is the fraction of a contract moved in a MoveInterval at most.
+	// MaxMoveFraction is the largest fraction of a contract that is moved in a MoveInterval.
 	MaxMoveFraction float64
-	// MaxInflowFraction is the fraction of a region's capacity moved into it in a MoveInterval.
+	// MaxInflowFraction is the largest rate that is moved into a region in a MoveInterval, as a
+	// fraction of the region's capacity.
 	MaxInflowFraction float64
-	// MaxUtilization is the fraction of a region's capacity up to which contracts are moved in.
+	// MaxUtilization is the fraction of a region's capacity up to which contracts are moved into it.
 	MaxUtilization float64
-	// MinBreachInterval is how long a region has to breach an objective before contracts leave.
+	// MinBreachInterval is how long a region must breach an objective before contracts are moved out
+	// of it.
 	MinBreachInterval time.Duration
-	// BudgetMargin is the fraction of the allowed misses that a region must have left before
-	// contracts are moved there.
+	// BudgetMargin is the fraction of the allowed misses that must be unused in a region before
+	// contracts are moved into it.
 	BudgetMargin float64
-	// ExploreFraction is the fraction of a contract sent to regions without recent evidence.
+	// ExploreFraction is the fraction of a contract that is sent to a region without recent
+	// evidence.
 	ExploreFraction float64
 }
 
-// DefaultConfig returns the values that docs/notes/promises.md derives.
+// DefaultConfig returns the default settings, which docs/notes/promises.md derives.
 func DefaultConfig() Config {
 	return Config{
 		SampleInterval:    5 * time.Second,
@@ -55,7 +59,7 @@
 	}
 }
 
-// InvalidKey returns the first invalid key, or "".
+// InvalidKey returns the first invalid settings key, or "" if all are valid.
 func (c Config) InvalidKey() string { return cmp.Or(c.invalidSamplingKey(), c.invalidSteeringKey()) }
 
 func (c Config) invalidSamplingKey() string {
@@ -79,7 +83,7 @@
 func (c Config) invalidSteeringKey() string {
 	isFraction := func(x float64) bool { return x > 0 && x <= 1 }
 	switch {
-	case c.MoveInterval < minSteerIntervalMs/2*time.Millisecond: // State.Apply accepts no more
+	case c.MoveInterval < minSteerIntervalMs/2*time.Millisecond: // State.Apply rejects more frequent moves
 		return "period"
 	case !isFraction(c.MaxMoveFraction):
 		return "step"
@@ -97,16 +101,16 @@
 	return ""
 }
 
-// interval is the number of the sample interval in which now lies.
+// interval returns the number of the sample interval that contains now.
 func (c Config) interval(now time.Duration) int64 { return int64(now / c.SampleInterval) }
 
-// Guards names the checks that a mutation can switch off, so that a scenario shows that it
-// would notice. All false in service.
+// Guards selects checks to disable. Mutations set them, so that a scenario can show that it
+// detects the missing check. All are false in production.
 type Guards struct {
-	GradualMoves   bool // move everything to the best region at once
-	Confidence     bool // reach a verdict on a few samples
-	Hysteresis     bool // need no breach interval, no margin and no spent budget
-	ExploreLimit   bool // explore without limit
-	CapacityLimits bool // put objectives before capacities
-	EvidenceExpiry bool // count evidence for ever
+	GradualMoves   bool // move each contract to its best region at once
+	Confidence     bool // accept a verdict on few samples
+	Hysteresis     bool // move without a breach interval, a margin or a spent error budget
+	ExploreLimit   bool // explore without limits
+	CapacityLimits bool // ignore the regions' capacities
+	EvidenceExpiry bool // use evidence of any age
 }
--- a/internal/fleet/slo/contract.go
+++ b/internal/fleet/slo/contract.go
@@ -8,30 +8,30 @@
 // Contract is a service level objective on the response times of an account or a route.
 type Contract struct {
 	Name        string        `json:"name"`
-	Holder      string        `json:"holder"`             // path of an account or team, or of a route
+	Holder      string        `json:"holder"`             // path of an account, a team or a route
 	Quantile    float64       `json:"quantile"`           // such as 0.95
-	Objective   time.Duration `json:"bound"`              // that the quantile must keep, in whole ms
-	ForMessages bool          `json:"messages,omitempty"` // of messages; else of session set-ups
+	Objective   time.Duration `json:"bound"`              // upper bound on the quantile, in whole ms
+	ForMessages bool          `json:"messages,omitempty"` // applies to messages, else to session set-ups
 	Window      time.Duration `json:"window"`
 	Target      float64       `json:"share"`           // fraction of windows in which the objective must be met
-	Priority    int           `json:"priority"`        // the lower goes first
-	Zones       []string      `json:"zones,omitempty"` // that it may use; empty for all
+	Priority    int           `json:"priority"`        // lower values have precedence
+	Zones       []string      `json:"zones,omitempty"` // zones that it may use; empty for all
 }
 
-// Allocation says where a contract's sessions go: shares of regions that add up to 1.
+// Allocation distributes a contract's sessions over regions. Its shares add up to 1.
 type Allocation struct {
 	Contract            string  `json:"contract"`
-	Shares              Shares  `json:"shares"`           // in whole thousandths
+	Shares              Shares  `json:"shares"`           // multiples of a thousandth
 	SteeredAt           int64   `json:"since"`            // Unix ms
 	PreviouslySteeredAt int64   `json:"before,omitempty"` // Unix ms; 0 if never
-	Overflow            float64 `json:"over,omitempty"`   // fraction of its set-ups without capacity
-	UnmetReason         string  `json:"unkept,omitempty"` // why its objective can't be met; empty where it can
+	Overflow            float64 `json:"over,omitempty"`   // fraction of its set-ups that exceeds capacity
+	UnmetReason         string  `json:"unkept,omitempty"` // why its objective can't be met; empty if it can
 }
 
-// Shares are fractions by region.
+// Shares are fractions of a contract's sessions by region.
 type Shares map[string]float64
 
-// Limits of what the replicated state holds.
+// Limits on the contents of the replicated state.
 const (
 	maxContracts   = 4096
 	maxZones       = 64
@@ -42,11 +42,11 @@
 
 	minWindow, maxWindow = 5 * time.Second, 10 * time.Minute
 
-	// minFraction and maxFraction bound quantiles and targets: a target of 1 would leave no
-	// error budget.
+	// minFraction and maxFraction limit quantiles and targets. A target of 1 would leave no error
+	// budget.
 	minFraction, maxFraction = 0.5, 0.9999
 
-	// thousandths is how many parts shares are counted in.
+	// thousandths is the whole of a contract in the unit of shares.
 	thousandths = 1000
 )
 
@@ -54,7 +54,7 @@
 
 func isValidFraction(x float64) bool { return x >= minFraction && x <= maxFraction }
 
-// validate names the field that makes a contract invalid.
+// validate returns an error that names an invalid field.
 func (c *Contract) validate() error {
 	problem := c.invalidField()
 	for i, zone := range c.Zones {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// invalidField describes the first invalid field, or returns "".
+// invalidField describes the first invalid field. It returns "" if there is none.
 func (c *Contract) invalidField() string {
 	switch {
 	case !isValidName(c.Name, maxNameBytes):
--- a/internal/fleet/slo/controller.go
+++ b/internal/fleet/slo/controller.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Region is what is known of a region, or a zone, by the name that shares use.
+// Region describes a region, or a single zone, under the name that Shares use.
 type Region struct {
 	Name           string
-	UsableFraction float64 // the part that zone statuses leave, 0 to 1
-	Capacity       float64 // session set-ups a second, were all of it usable
-	OtherTraffic   float64 // session set-ups a second under no contract
-	Load           float64 // as reported, over capacity; negative if unknown
+	UsableFraction float64 // fraction that zone statuses leave usable, 0 to 1
+	Capacity       float64 // session set-ups per second if the whole region were usable
+	OtherTraffic   float64 // session set-ups per second that belong to no contract
+	Load           float64 // reported ratio of load to capacity; negative if unknown
 }
 
-// Demand is session set-ups a second by contract.
+// Demand is the number of session set-ups per second by contract.
 type Demand map[string]float64
 
-// Controller weighs observations and decides where contracts go. It is not safe for concurrent
-// use.
+// Controller evaluates observations and proposes allocations of contracts to regions. It is not
+// safe for concurrent use.
 type Controller struct {
 	DisabledGuards Guards
 
 	cfg              Config
-	contractsVersion uint64                    // of contracts
+	contractsVersion uint64                    // State.Version that contracts was made from
 	contracts        map[string]*contractState // by name
-	lastObserved     int64                     // interval
-	lastMoveAt       time.Duration             // when moves were proposed last
+	lastObserved     int64                     // number of the interval
+	lastMoveAt       time.Duration             // time of the last proposed moves
 	pools            map[regionKind][]pooledHistogram
-	pooledCounts     map[pooledKey]responseCount // a cache of pools, for one evaluation
+	pooledCounts     map[pooledKey]responseCount // cache of sums over pools, valid for one evaluation
 }
 
-// NewController returns a controller without evidence: it goes on from the replicated state.
+// NewController returns a controller without evidence. It continues from the replicated state.
 func NewController(cfg Config) *Controller {
 	return &Controller{
 		cfg:          cfg,
@@ -42,20 +42,21 @@
 	}
 }
 
-// maxAllocationsBytes bounds the JSON of one change's allocations; the others follow with the
-// next change.
+// maxAllocationsBytes limits the JSON size of the allocations in one change. Further allocations
+// follow in the next change.
 const maxAllocationsBytes = 200_000
 
-// Evaluate takes the observations since the last call and returns the change to propose and the
-// reason in words; ok is false if there is none. now is Unix time. The change depends on the
-// replicated state and the evidence alone, so a new leader goes on where the last one was.
+// Evaluate adds the observations since the last call. It returns the change to propose and the
+// reason for it in words; ok is false if there is nothing to propose. now is Unix time. The change
+// depends only on the replicated state and the evidence, so a new leader continues where the
+// previous one stopped.
 func (c *Controller) Evaluate(
 	now time.Duration, state State, observations []Observation, regions []Region, demand Demand,
 ) (change Change, reason string, ok bool) {
 	c.Observe(state, observations)
 	clear(c.pooledCounts)
 	interval := c.cfg.interval(now)
-	if c.lastMoveAt == 0 || c.lastMoveAt > now { // the last leader may have moved contracts just now
+	if c.lastMoveAt == 0 || c.lastMoveAt > now { // the previous leader may just have moved contracts
 		c.lastMoveAt = now
 	}
 	moveAllowed := now-c.lastMoveAt >= c.cfg.MoveInterval
@@ -71,8 +72,8 @@
 	return c.proposeChange(now, state, placements, capacities)
 }
 
-// proposeChange puts the allocations that changed into one change, by priority, as many as
-// maxAllocationsBytes takes.
+// proposeChange collects the changed allocations into one change, in the order of priority and up
+// to maxAllocationsBytes.
 func (c *Controller) proposeChange(
 	now time.Duration, state State, placements []*placement, capacities []regionCapacity,
 ) (change Change, reason string, ok bool) {
@@ -110,12 +111,12 @@
 }
 
 const (
-	minMoveThousandths     = 5  // smaller moves are not worth a log entry
-	minOverflowThousandths = 20 // nor smaller changes of the overflow
+	minMoveThousandths     = 5  // smaller moves do not justify a log entry
+	minOverflowThousandths = 20 // smaller changes of the overflow do not either
 )
 
-// proposedAllocation is a contract's allocation as placed, and whether it differs enough from
-// the replicated one to be proposed.
+// proposedAllocation returns a contract's allocation according to its placement, and whether it
+// differs enough from the replicated one to be proposed.
 func (c *Controller) proposedAllocation(
 	now time.Duration, state State, p *placement, regions []regionCapacity,
 ) (allocation Allocation, isChanged bool) {
@@ -145,10 +146,11 @@
 	return allocation, isChanged && p.maySteer && total == thousandths
 }
 
-// currentUnmetReason says why an objective can't be met, once that has been so for the
-// MinBreachInterval. It is taken back when the error budget is no longer spent.
+// currentUnmetReason returns the reason why an objective can't be met, after that has been the case
+// for the MinBreachInterval. The reason is cleared once the objective can be met and its error
+// budget is no longer burning.
 func (c *Controller) currentUnmetReason(now time.Duration, tracked *contractState, p *placement) string {
-	if p.unmetReason == "" && !p.isDue { // no move was tried, so nothing is known
+	if p.unmetReason == "" && !p.isDue { // no move was tried, so there is no new result
 		return p.lastUnmetReason
 	}
 	if p.unmetReason == "" {
--- a/internal/fleet/slo/controller_test.go
+++ b/internal/fleet/slo/controller_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// All contracts of a region that grows slow would move at once, and would slow each region that
-// they all went to. The loop settles: from the 20th minute after the fault on, less than 1 % of
-// the session set-ups is moved in any minute. Greedy steering never settles.
+// If all contracts left a slow region at once, they would overload each region that they moved to.
+// The control loop must settle: from the 20th minute after the fault on, less than 1 % of the
+// session set-ups is moved in any minute. Greedy steering must not settle, or else the test could
+// not fail.
 func TestControlLoopSettles(t *testing.T) {
 	simulate := func(disabled Guards, frozen bool) *simulation {
 		sim := newSimulation(t, 90, 4, 4, 0.45)
@@ -20,22 +21,22 @@
 	steered := simulate(Guards{}, false)
 	greedy := simulate(Guards{GradualMoves: true}, false)
 	unsteered := simulate(Guards{}, true)
-	t.Logf("moved a minute %.4f, greedy %.3f; max load %.2f, greedy %.2f",
+	t.Logf("moved per minute %.4f, greedy %.3f; max load %.2f, greedy %.2f",
 		steered.busiestMinute(32), greedy.busiestMinute(32), steered.maxLoad, greedy.maxLoad)
 	t.Logf("windows met %.3f, greedy %.3f, unsteered %.3f",
 		steered.metFraction(), greedy.metFraction(), unsteered.metFraction())
 	if steered.metFraction() < 0.9 || unsteered.metFraction() >= 0.9 || greedy.metFraction() >= 0.9 {
-		t.Errorf("%.3f of the windows are met, %.3f unsteered, %.3f greedy",
+		t.Errorf("fraction of windows met: %.3f, %.3f unsteered, %.3f greedy",
 			steered.metFraction(), unsteered.metFraction(), greedy.metFraction())
 	}
 	if moved := steered.busiestMinute(32); moved >= 0.01 {
-		t.Errorf("%.3f of the set-ups is moved in a minute", moved)
+		t.Errorf("%.3f of the set-ups moved in one minute", moved)
 	}
 	if moved := steered.busiestMinute(0); moved > 2*steered.cfg.MaxMoveFraction {
-		t.Errorf("%.3f of the set-ups is moved in a minute, two steps are %.2f", moved, 2*steered.cfg.MaxMoveFraction)
+		t.Errorf("%.3f moved in one minute, two steps are %.2f", moved, 2*steered.cfg.MaxMoveFraction)
 	}
 	if moved := greedy.busiestMinute(32); moved < 0.1 {
-		t.Errorf("greedy steering moves %.3f a minute: this test can't fail", moved)
+		t.Errorf("greedy steering moves only %.3f per minute: this test can't fail", moved)
 	}
 }
 
@@ -79,14 +80,15 @@
 	return sim.maxLoad
 }
 
-// staysAwayOnOldEvidence is 1 if no contract returns to a region that was slow once.
+// staysAwayOnOldEvidence returns 1 if no contract returns to a region that was slow in the past,
+// and 0 otherwise.
 func staysAwayOnOldEvidence(t *testing.T, disabled Guards) float64 {
 	sim := newSimulation(t, 30, 3, 3, 0.2)
 	sim.steerAll(Shares{"r02": 1})
 	sim.meanMs["r02"] = 60
 	sim.regions[0].UsableFraction, sim.regions[1].UsableFraction = 0, 0
 	sim.run(2 * time.Minute)
-	for i := range sim.state.Allocations { // another leader moved them away
+	for i := range sim.state.Allocations { // as if another leader had moved the contracts away
 		allocation := &sim.state.Allocations[i]
 		allocation.Shares, allocation.UnmetReason = Shares{"r00": 1}, ""
 	}
@@ -102,7 +104,7 @@
 	return 1
 }
 
-// Each guard prevents something that shows once it is disabled.
+// Each guard prevents a fault that must appear once the guard is disabled.
 func TestDisabledGuardShowsItsFault(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -110,9 +112,9 @@
 		bound    float64
 		simulate func(t *testing.T, disabled Guards) float64
 	}{
-		{"moved though all is well, with few samples", Guards{Confidence: true}, 0.1, movedWithFewSamples},
-		{"moved where regions breach for moments", Guards{Hysteresis: true}, 0.02, movedAfterShortBreaches},
-		{"of a contract that explores", Guards{ExploreLimit: true}, 0.02, exploredShare},
+		{"moved on few samples without a breach", Guards{Confidence: true}, 0.1, movedWithFewSamples},
+		{"moved because of short breaches", Guards{Hysteresis: true}, 0.02, movedAfterShortBreaches},
+		{"explored share of a contract", Guards{ExploreLimit: true}, 0.02, exploredShare},
 		{"load of a small region", Guards{CapacityLimits: true}, 0.86, loadOfSmallRegion},
 		{"contracts stay away on old evidence", Guards{EvidenceExpiry: true}, 0, staysAwayOnOldEvidence},
 	} {
@@ -127,11 +129,11 @@
 	}
 }
 
-// A contract whose error budget is being spent explores nothing, though it could; others do.
+// A contract whose error budget is burning must not explore an allowed region, while others do.
 func TestBurningContractsDoNotExplore(t *testing.T) {
 	sim := newSimulation(t, 30, 3, 3, 0.2)
 	sim.steerAll(Shares{"r00": 0.5, "r01": 0.5})
-	for i := range sim.state.Contracts { // some have an objective that no region meets
+	for i := range sim.state.Contracts { // every second objective can't be met by any region
 		if i%2 == 0 {
 			sim.state.Contracts[i].Objective = 2 * time.Millisecond
 		}
@@ -145,7 +147,7 @@
 		}
 		hasBreached := sim.controller.contracts[allocation.Contract].history != 0
 		if allocation.UnmetReason == "" && i%2 == 0 && hasBreached {
-			t.Errorf("%s burns and has %.3f where nobody measured", allocation.Contract, share)
+			t.Errorf("%s is burning and has %.3f in an unmeasured region", allocation.Contract, share)
 			continue
 		}
 		explorers++
--- a/internal/fleet/slo/evidence.go
+++ b/internal/fleet/slo/evidence.go
@@ -6,7 +6,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// responseCount is what was measured in one interval, or in several together.
+// responseCount counts the response times of one interval, or the sum over several.
 type responseCount struct {
 	interval      int64
 	total, missed float64 // response times, and those above the objective
@@ -19,7 +19,7 @@
 	n.members = max(n.members, other.members)
 }
 
-// intervalRing holds the last intervals; older ones drop out as new ones come.
+// intervalRing is a ring buffer of the latest intervals. New intervals overwrite the oldest ones.
 type intervalRing []responseCount
 
 func (r intervalRing) add(added responseCount) {
@@ -33,7 +33,7 @@
 	slot.add(added)
 }
 
-// sum adds up the intervals from one on.
+// sum adds up the intervals from firstInterval on.
 func (r intervalRing) sum(firstInterval int64) (sum responseCount) {
 	for _, entry := range r {
 		if entry.interval >= firstInterval && entry.total > 0 {
@@ -43,7 +43,8 @@
 	return sum
 }
 
-// firstEvidenceInterval is the first interval that is evidence at another.
+// firstEvidenceInterval returns the first interval that still counts as evidence in the given
+// interval.
 func (c *Controller) firstEvidenceInterval(interval int64) int64 {
 	if c.DisabledGuards.EvidenceExpiry {
 		return 0
@@ -51,18 +52,18 @@
 	return interval - c.mergeLag() - int64(c.cfg.EvidenceIntervals) + 1
 }
 
-// mergeLag is how many intervals are over and not merged yet.
+// mergeLag returns the number of intervals that have ended but are not merged yet.
 func (c *Controller) mergeLag() int64 {
 	return 1 + int64((c.cfg.LateSampleTimeout+c.cfg.SampleInterval-1)/c.cfg.SampleInterval)
 }
 
-// regionKind is what all contracts measure alike in a region: set-ups or messages.
+// regionKind is a map key: a region and a kind of response time, session set-ups or messages.
 type regionKind struct {
 	region   string
 	messages bool
 }
 
-// pooledHistogram is all that was measured of a kind in one interval.
+// pooledHistogram merges the measurements of all contracts for one regionKind in one interval.
 type pooledHistogram struct {
 	interval int64
 	hist     *hdr.PackedHistogram
@@ -74,7 +75,8 @@
 	objectiveMs int64
 }
 
-// pooledCount is what all contracts together measured in a region, against one's objective.
+// pooledCount returns the response times of all contracts in a region, counted against the
+// objective of one contract.
 func (c *Controller) pooledCount(region string, contract *Contract, interval int64) responseCount {
 	key := pooledKey{regionKind{region, contract.ForMessages}, contract.Objective.Milliseconds()}
 	if sum, ok := c.pooledCounts[key]; ok {
@@ -98,8 +100,8 @@
 	return sum
 }
 
-// Observe takes observations. Members that do not lead take them too, so that one that begins
-// to lead knows as much as the last leader did.
+// Observe adds observations. Followers add them too, so that a new leader has the same evidence as
+// the previous one.
 func (c *Controller) Observe(state State, observations []Observation) {
 	if state.Version != c.contractsVersion || c.contracts == nil {
 		c.syncContracts(state)
@@ -152,14 +154,14 @@
 	_ = observation.Histogram.addTo(pool.hist, observation.Histogram.Count())
 }
 
-// syncContracts tracks the contracts of the replicated state. What was measured for one is
-// dropped if its terms changed.
+// syncContracts updates the tracked contracts from the replicated state. The evidence for a
+// contract is dropped if its terms have changed.
 func (c *Controller) syncContracts(state State) {
 	previous := c.contracts
 	c.contracts, c.contractsVersion = make(map[string]*contractState, len(state.Contracts)), state.Version
 	for _, contract := range state.Contracts {
 		tracked := previous[contract.Name]
-		if tracked == nil || !measuresAlike(&tracked.contract, &contract) {
+		if tracked == nil || !hasSameTerms(&tracked.contract, &contract) {
 			tracked = &contractState{contract: contract, regions: map[string]intervalRing{}}
 		}
 		tracked.contract = contract
@@ -167,8 +169,8 @@
 	}
 }
 
-// measuresAlike reports whether what was measured for one contract counts for the other.
-func measuresAlike(a, b *Contract) bool {
+// hasSameTerms reports whether the evidence for one contract is valid for the other.
+func hasSameTerms(a, b *Contract) bool {
 	return a.Holder == b.Holder &&
 		a.Quantile == b.Quantile &&
 		a.Objective == b.Objective &&
--- a/internal/fleet/slo/explore.go
+++ b/internal/fleet/slo/explore.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// explore sends a small share of some contracts to regions without recent evidence: of as few
-// as bring enough samples, those of the lowest priority first, and of none whose error budget is
-// being spent or that explores already.
+// explore sends a small share of some contracts to regions without recent evidence. It selects as
+// few contracts as yield enough samples, those of the lowest priority first. Contracts that are
+// spending their error budget or are already exploring are left out.
 func (c *Controller) explore(placements []*placement, regions []regionCapacity, interval int64) {
 	candidates := slices.Clone(placements)
 	slices.SortFunc(candidates, func(a, b *placement) int {
@@ -24,7 +24,8 @@
 	}
 }
 
-// exploreRegion explores one region for set-ups or messages until enough samples are expected.
+// exploreRegion selects contracts to explore one region, for session set-ups or messages, until
+// MinSamples response times are expected.
 func (c *Controller) exploreRegion(
 	placements, candidates []*placement, regions []regionCapacity, r int, messages bool, interval int64,
 ) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// exploreShare is the share of a contract that explores, in thousandths.
+// exploreShare returns the share of a contract that is sent to explore a region, in thousandths.
 func (c *Controller) exploreShare() int {
 	if c.DisabledGuards.ExploreLimit {
 		return thousandths / 5
@@ -57,7 +58,8 @@
 	return int(c.cfg.ExploreFraction * thousandths)
 }
 
-// largestRegion is the first region with the contract's largest share.
+// largestRegion returns the region with the contract's largest share, the first one if several have
+// it.
 func (p *placement) largestRegion() int {
 	largest := 0
 	for r, share := range p.next {
@@ -68,7 +70,7 @@
 	return largest
 }
 
-// isUnmeasured reports whether a region has too little recent evidence for a contract.
+// isUnmeasured reports whether a region has fewer than MinSamples recent samples for a contract.
 func (c *Controller) isUnmeasured(p *placement, region string, interval int64) bool {
 	return c.pooledCount(region, p.contract, interval).total < c.cfg.MinSamples
 }
@@ -91,7 +93,7 @@
 	if regions[r].fitsInflow(p, share) < share {
 		return false
 	}
-	for i := range regions { // what it has in such regions is exploring already
+	for i := range regions { // a share in another unmeasured region already explores
 		if p.next[i]+p.overflow[i] > 0 && c.isUnmeasured(p, regions[i].name, interval) {
 			return false
 		}
--- a/internal/fleet/slo/histogram.go
+++ b/internal/fleet/slo/histogram.go
@@ -9,24 +9,25 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxResponseTime is what longer times, and requests that got no answer, count as.
+// maxResponseTime is the value recorded for longer times and for requests without a response.
 const maxResponseTime = time.Minute
 
-// All histograms have the same buckets: 1 ms wide up to 32 ms, then 16 for each doubling, so
-// none is wider than a sixteenth of its time. Equal buckets merge exactly.
+// All histograms have the same buckets, so they merge exactly: buckets are 1 ms wide up to 32 ms,
+// and each further doubling is divided into 16 buckets, so no bucket is wider than a sixteenth of
+// its time.
 const (
 	lowestMs, highestMs = 1, int64(maxResponseTime / time.Millisecond)
 	significantDigits   = 1
 
-	maxBucketCount    = 1_000_000 // in a bucket of one sample
-	maxHistogramBytes = 1024      // encoded
+	maxBucketCount    = 1_000_000 // per bucket of a sample
+	maxHistogramBytes = 1024      // in encoded form
 )
 
-// bucketLayout only says where the buckets lie; nothing is recorded in it.
+// bucketLayout defines the bucket boundaries. No values are recorded in it.
 var bucketLayout = hdr.New(lowestMs, highestMs, significantDigits)
 
-// Histogram is an encoded histogram: for each bucket that is not empty, by time, the distance
-// in ms to the one before and the count, as varints.
+// Histogram is an encoded histogram. For each non-empty bucket, in ascending order, it contains two
+// varints: the distance in ms from the previous bucket, and the count.
 type Histogram []byte
 
 func newPackedHistogram() *hdr.PackedHistogram {
@@ -45,8 +46,8 @@
 	return encoded
 }
 
-// forEachBucket visits every bucket's time in ms and count, and returns false where the
-// encoding is invalid.
+// forEachBucket calls visit with the time in ms and the count of every bucket. It returns false if
+// the encoding is invalid.
 func (h Histogram) forEachBucket(visit func(ms, count int64)) bool {
 	ms := int64(0)
 	for first := true; len(h) > 0; first = false {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// isPlausible reports whether a histogram from another member can be true.
+// isPlausible reports whether an untrusted histogram is validly encoded and within the limits.
 func (h Histogram) isPlausible() bool {
 	if len(h) == 0 || len(h) > maxHistogramBytes {
 		return false
@@ -75,14 +76,14 @@
 	return isValid && plausible
 }
 
-// Count is how many response times are in the histogram.
+// Count returns the number of response times in the histogram.
 func (h Histogram) Count() (total int64) {
 	h.forEachBucket(func(_, count int64) { total += count })
 	return total
 }
 
-// CountAbove is how many of them miss an objective. The bucket in which the objective lies
-// counts as above it, so that no objective is said to be met that is not.
+// CountAbove returns the number of response times above an objective. The bucket that contains the
+// objective counts as above it, so that an objective is never reported as met by mistake.
 func (h Histogram) CountAbove(objective time.Duration) (total int64) {
 	h.forEachBucket(func(ms, count int64) {
 		if isAbove(ms, int64(objective/time.Millisecond)) {
@@ -96,13 +97,13 @@
 	if ms > objectiveMs {
 		return true
 	}
-	// An objective at the end of its bucket is met by the whole bucket.
+	// If the objective is the end of its bucket, all times in the bucket meet it.
 	return bucketLayout.ValuesAreEquivalent(ms, objectiveMs) &&
 		bucketLayout.ValuesAreEquivalent(objectiveMs, objectiveMs+1)
 }
 
-// addTo adds the histogram, scaled down to limit response times if it holds more. The sum of
-// what is added is exact, and a bucket's part off by less than one.
+// addTo adds the histogram to packed. A histogram of more than limit response times is scaled down
+// to limit: the total is exact, and each bucket's count is off by less than one.
 func (h Histogram) addTo(packed *hdr.PackedHistogram, limit int64) error {
 	total, cumulative, added := h.Count(), int64(0), int64(0)
 	var err error
--- a/internal/fleet/slo/move.go
+++ b/internal/fleet/slo/move.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// moveFromBreaches moves a part of a contract out of regions that breach its objective: no more
-// than MaxMoveFraction, and into each region no more than its inflow and headroom take.
+// moveFromBreaches moves a part of a contract out of regions that breach its objective. It moves at
+// most MaxMoveFraction, and into each region at most its remaining inflow and headroom.
 func (c *Controller) moveFromBreaches(p *placement, regions []regionCapacity) {
 	if c.DisabledGuards.GradualMoves {
 		c.moveAllToBest(p, regions)
@@ -21,27 +21,27 @@
 		return
 	}
 	step := int(c.cfg.MaxMoveFraction * thousandths)
-	left := step
+	remaining := step
 	for _, source := range sources {
 		for _, destination := range destinations {
-			share := min(left, p.next[source])
+			share := min(remaining, p.next[source])
 			if !c.DisabledGuards.CapacityLimits {
 				share = regions[destination].fitsInflow(p, share)
 			}
-			left -= share
+			remaining -= share
 			p.shift(regions, source, destination, share)
 			regions[destination].inflowLeft -= float64(share) * p.ratePerThousandth
 			regions[destination].displaced += float64(share) * p.ratePerThousandth
 		}
 	}
-	p.moved += step - left
-	if left == step && p.unmetReason == "" {
+	p.moved += step - remaining
+	if remaining == step && p.unmetReason == "" {
 		p.unmetReason = p.reasonNotMoved(regions, destinations)
 	}
 }
 
-// movableRegions lists the regions to move out of, the worst first, and those to move into, the
-// best first.
+// movableRegions returns the regions to move sessions out of, the worst first, and the regions to
+// move them into, the best first.
 func (p *placement) movableRegions(regions []regionCapacity) (sources, destinations []int) {
 	for _, r := range p.rankedRegions(regions) {
 		view := &p.regionViews[r]
@@ -60,7 +60,7 @@
 	return sources, destinations
 }
 
-// shift moves a share from one region to another.
+// shift moves a share from the source region to the destination region.
 func (p *placement) shift(regions []regionCapacity, source, destination, share int) {
 	p.next[source] -= share
 	p.next[destination] += share
@@ -68,7 +68,8 @@
 	regions[destination].reserve(p, share)
 }
 
-// reasonNotMoved says why nothing was moved out of a region that breaches the objective.
+// reasonNotMoved returns the reason why nothing was moved out of a region that breaches the
+// objective.
 func (p *placement) reasonNotMoved(regions []regionCapacity, destinations []int) string {
 	switch {
 	case len(destinations) > 0:
@@ -80,7 +81,7 @@
 	return fmt.Sprintf("bound: none of %s keeps %v within %v", allowed, p.contract.Quantile, p.contract.Objective)
 }
 
-// moveAllToBest is what a greedy controller does: it moves everything to the best region.
+// moveAllToBest moves the whole contract to the best region, as a greedy controller does.
 func (c *Controller) moveAllToBest(p *placement, regions []regionCapacity) {
 	ranked := p.rankedRegions(regions)
 	if !p.maySteer || !p.isDue || len(ranked) == 0 {
--- a/internal/fleet/slo/objective.go
+++ b/internal/fleet/slo/objective.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// verdict is whether a region meets an objective. Few samples give none.
+// verdict is the result of checking a region against an objective. It is unknown if there are too
+// few samples.
 type verdict int
 
 const (
@@ -11,13 +12,13 @@
 	breaches
 )
 
-// minMembers is how many members' measurements a verdict needs: those of one, true or not,
-// are never enough.
+// minMembers is the number of members whose measurements a verdict needs, so that a single member
+// can't cause one with correct or false measurements.
 const minMembers = 2
 
-// wilsonInterval bounds the true share of which good of total is a sample, z standard
-// deviations to both sides (Wilson, 1927). Unlike the plain normal interval it holds for shares
-// near 1, where quantiles lie, and for few samples.
+// wilsonInterval returns the Wilson score interval (Wilson, 1927) of z standard deviations for the
+// true fraction, given that good of total samples are good. Unlike the normal approximation, it is
+// valid for fractions near 1, as quantiles are, and for few samples.
 func wilsonInterval(good, total, z float64) (lower, upper float64) {
 	if total <= 0 {
 		return 0, 1
@@ -27,8 +28,8 @@
 	return (center - half) / (1 + correction), (center + half) / (1 + correction)
 }
 
-// evaluateObjective says what a sample shows of the objective that a quantile of all response
-// times does not miss.
+// evaluateObjective checks the response times of a sample against the objective, which the given
+// quantile of all response times must not exceed.
 func evaluateObjective(cfg *Config, disabled Guards, sample responseCount, quantile float64) verdict {
 	zScore, members := cfg.ZScore, sample.members
 	if disabled.Confidence {
@@ -46,16 +47,16 @@
 	return unknown
 }
 
-// regionView is how a contract sees a region.
+// regionView is the evaluation of a region for one contract.
 type regionView struct {
 	verdict         verdict
-	score           float64 // share of response times within the objective
-	hasMargin       bool    // meets the objective with the margin: sessions may be moved in
-	breachConfirmed bool    // has breached it for the MinBreachInterval: sessions may be moved out
+	score           float64 // fraction of the response times within the objective
+	hasMargin       bool    // meets the objective with the BudgetMargin; sessions may be moved in
+	breachConfirmed bool    // has breached it for the MinBreachInterval; sessions may be moved out
 }
 
-// viewRegion evaluates a region for a contract on the contract's own samples or, where these
-// give no verdict, on those of all contracts there: the same endpoints serve them.
+// viewRegion evaluates a region for a contract by the contract's own samples. If these yield no
+// verdict, it uses the samples of all contracts in the region, as the same endpoints serve them.
 func (c *Controller) viewRegion(tracked *contractState, region string, interval int64) regionView {
 	contract := &tracked.contract
 	evaluate := func(sample responseCount, quantile float64) verdict {
@@ -63,8 +64,8 @@
 	}
 	sample := tracked.regions[region].sum(c.firstEvidenceInterval(interval))
 	pooled := c.pooledCount(region, contract, interval)
-	ownIsEnough := c.DisabledGuards.Confidence && sample.total > 0
-	if evaluate(sample, contract.Quantile) == unknown && !ownIsEnough {
+	ownSamplesSuffice := c.DisabledGuards.Confidence && sample.total > 0
+	if evaluate(sample, contract.Quantile) == unknown && !ownSamplesSuffice {
 		sample = pooled
 	}
 	view := regionView{verdict: evaluate(sample, contract.Quantile)}
--- a/internal/fleet/slo/placement.go
+++ b/internal/fleet/slo/placement.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// placement is a contract as it is placed. Shares are in thousandths of its session set-ups,
-// by region.
+// placement is the state of a contract during an allocation. Slices are indexed by region, and
+// shares are in thousandths of the contract's session set-ups.
 type placement struct {
 	contract          *Contract
-	ratePerThousandth float64 // session set-ups a second
+	ratePerThousandth float64 // session set-ups per second
 	allowed           []bool
 	regionViews       []regionView
 	current, next     []int
-	overflow          []int // in addition to next: what the regions have no capacity for
+	overflow          []int // in addition to next; exceeds the regions' capacities
 	unplaced          int
 	moved             int
-	maySteer          bool // State.Apply accepts a new allocation
+	maySteer          bool // State.Apply would accept a new allocation
 	isDue             bool // its MoveInterval is over
 	isBurning         bool
-	unmetReason       string // why its objective can't be met, "" where it can
-	lastUnmetReason   string // in the replicated allocation
+	unmetReason       string // why its objective can't be met; "" if it can
+	lastUnmetReason   string // of the replicated allocation
 	exploredRegion    string
 }
 
-// newPlacement returns what a contract has now and what it sees of the regions.
+// newPlacement returns a placement with the contract's current shares and an evaluation of the
+// regions that it may use.
 func (c *Controller) newPlacement(
 	now time.Duration, interval int64, state State, contract *Contract,
 	regions []regionCapacity, demand Demand,
@@ -65,9 +66,9 @@
 	return p
 }
 
-// initialWeights are the regions' parts of a contract that was never steered: as measured or,
-// where that is too little, by the capacities, as nodes draw evenly among the endpoints that
-// they may use.
+// initialWeights returns the regions' weights for a contract that was never steered. These are the
+// measured response counts or, below MinSamples, the capacities, as nodes draw evenly among the
+// endpoints that they may use.
 func (c *Controller) initialWeights(
 	tracked *contractState, interval int64, regions []regionCapacity, capacities []float64,
 ) []float64 {
@@ -102,7 +103,7 @@
 	return now-since >= c.cfg.MinBreachInterval || c.DisabledGuards.Hysteresis
 }
 
-// rankedRegions lists the regions that a contract may use, the best first.
+// rankedRegions returns the usable regions that a contract may use, the best first.
 func (p *placement) rankedRegions(regions []regionCapacity) []int {
 	var ranked []int
 	for r := range regions {
@@ -126,7 +127,7 @@
 	return slices.ContainsFunc(p.rankedRegions(regions), func(r int) bool { return p.regionViews[r].verdict == meets })
 }
 
-// countAllowed is how many regions the contract may use.
+// countAllowed returns the number of regions that the contract may use.
 func (p *placement) countAllowed() (count int) {
 	for _, allowed := range p.allowed {
 		if allowed {
--- a/internal/fleet/slo/recorder.go
+++ b/internal/fleet/slo/recorder.go
@@ -8,8 +8,8 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Recorder counts what one member measures in the current interval. It is not safe for
-// concurrent use.
+// Recorder records the response times that one member measures in the current interval. It is not
+// safe for concurrent use.
 type Recorder struct {
 	cfg          Config
 	member, zone string
@@ -21,8 +21,8 @@
 	dropped      int
 }
 
-// NewRecorder returns an empty recorder of a member in a zone. incarnation tells its process
-// from earlier ones; a later process has a greater one.
+// NewRecorder returns an empty recorder for a member in a zone. incarnation identifies the member's
+// process and must be greater for a later process.
 func NewRecorder(cfg Config, member, zone string, incarnation int64) *Recorder {
 	return &Recorder{
 		cfg:         cfg,
@@ -33,7 +33,7 @@
 	}
 }
 
-// SetContracts takes the contracts that count from now on.
+// SetContracts sets the known contracts. Response times of others are ignored.
 func (r *Recorder) SetContracts(state State) {
 	r.priorities = make(map[string]int, len(state.Contracts))
 	for _, contract := range state.Contracts {
@@ -41,8 +41,9 @@
 	}
 }
 
-// Record counts a response time; for a request that got no answer any long time will do. It
-// returns the sample of the interval before, once that is over, and else nil.
+// Record records a response time. A request without a response is recorded with any time of at
+// least maxResponseTime. Record returns the sample of the previous interval if that has ended, and
+// nil otherwise.
 func (r *Recorder) Record(now time.Duration, contract, region string, responseTime time.Duration) *Sample {
 	finished := r.Rotate(now)
 	if _, ok := r.priorities[contract]; !ok || !isValidName(region, maxNameBytes) {
@@ -51,7 +52,8 @@
 	key := contractRegion{contract, region}
 	histogram := r.histograms[key]
 	if histogram == nil {
-		// Twice as many as are reported: which ones are dropped is known at the end only.
+		// Up to twice MaxMeasurements are kept, as takeSample selects the pairs to report by
+		// their counts at the end of the interval.
 		if len(r.histograms) >= 2*r.cfg.MaxMeasurements {
 			r.dropped++
 			return finished
@@ -61,15 +63,16 @@
 	}
 	roundedUpMs := int64((responseTime + time.Millisecond - 1) / time.Millisecond)
 	if histogram.TotalCount() < maxBucketCount {
-		_ = histogram.RecordValue(min(max(roundedUpMs, lowestMs), highestMs)) // always within the buckets
+		_ = histogram.RecordValue(min(max(roundedUpMs, lowestMs), highestMs)) // can't fail within the buckets
 	}
 	return finished
 }
 
-// Rotate returns the sample of the interval that was current, if it is over and holds anything.
+// Rotate starts a new interval if the current one has ended. It returns the sample of the ended
+// interval, or nil if none has ended or nothing was recorded.
 func (r *Recorder) Rotate(now time.Duration) *Sample {
 	interval := r.cfg.interval(now)
-	if interval <= r.interval { // a clock that went back adds to the current interval
+	if interval <= r.interval { // if the clock went back, the current interval continues
 		return nil
 	}
 	sample := r.takeSample()
@@ -78,8 +81,8 @@
 	return sample
 }
 
-// takeSample returns what was counted. Beyond MaxMeasurements, the pairs with the lowest
-// priority are dropped first, and of these the least used.
+// takeSample returns the sample of the current interval. Beyond MaxMeasurements it drops the pairs
+// of the lowest priority first, and among these the ones with the fewest response times.
 func (r *Recorder) takeSample() *Sample {
 	if len(r.histograms) == 0 {
 		return nil
@@ -114,8 +117,8 @@
 	return sample
 }
 
-// keysByImportance returns the pairs with the most important contract first, of equal ones the
-// most used.
+// keysByImportance returns the pairs sorted by the contract's priority. Within a priority, the pairs
+// with the most response times come first.
 func (r *Recorder) keysByImportance() []contractRegion {
 	keys := make([]contractRegion, 0, len(r.histograms))
 	for key := range r.histograms {
--- a/internal/fleet/slo/recorder_test.go
+++ b/internal/fleet/slo/recorder_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// The objective's own bucket counts as above it, whatever the objective.
+// The bucket that contains the objective must count as above it, for every objective.
 func TestObjectiveBucketCountsAsAbove(t *testing.T) {
 	countAbove := func(responseTime, objective time.Duration) int64 {
 		return recordedSample("n", 1, responseTime, 3).Measurements[0].Histogram.CountAbove(objective)
--- a/internal/fleet/slo/sample.go
+++ b/internal/fleet/slo/sample.go
@@ -6,39 +6,41 @@
 	"slices"
 )
 
-// Measurement is what a member measured for a contract in a region.
+// Measurement holds the response times that a member measured for a contract in a region.
 type Measurement struct {
 	Contract    string    `json:"c"`
-	RegionIndex int       `json:"r"` // in the sample's Regions
+	RegionIndex int       `json:"r"` // index into the sample's Regions
 	Histogram   Histogram `json:"h"`
 }
 
-// Sample is what a member measured in one interval. A later one of the same interval replaces it.
+// Sample holds a member's measurements of one interval. It replaces an earlier sample of the same
+// member and interval.
 type Sample struct {
 	Member       string        `json:"member"`
-	Zone         string        `json:"from"` // the member's
-	Incarnation  int64         `json:"boot"` // of its process: a later one replaces all
+	Zone         string        `json:"from"` // zone of the member
+	Incarnation  int64         `json:"boot"` // of the member's process; a later one takes precedence
 	Seq          uint64        `json:"seq"`
-	Interval     int64         `json:"slot"` // its number
+	Interval     int64         `json:"slot"` // number of the interval
 	Regions      []string      `json:"regions"`
 	Measurements []Measurement `json:"cells"`
-	Dropped      int           `json:"dropped,omitempty"` // measurements beyond MaxMeasurements
+	Dropped      int           `json:"dropped,omitempty"` // number of measurements beyond MaxMeasurements
 }
 
 const (
-	maxMeasurementsLimit = 4096 // of Config.MaxMeasurements
+	maxMeasurementsLimit = 4096 // upper limit of Config.MaxMeasurements
 	maxDropped           = 1e6
 )
 
-// contractRegion is a key.
+// contractRegion is a map key.
 type contractRegion struct{ contract, region string }
 
-// isNewerThan reports whether a sample replaces another of its member and interval.
+// isNewerThan reports whether a sample replaces another one of the same member and interval.
 func (s *Sample) isNewerThan(other *Sample) bool {
 	return cmp.Or(cmp.Compare(s.Incarnation, other.Incarnation), cmp.Compare(s.Seq, other.Seq)) > 0
 }
 
-// validate says why a sample can't be true: it comes from outside.
+// validate returns an error if a sample is malformed or exceeds a limit. Samples are untrusted
+// input.
 func (s *Sample) validate(maxMeasurements int) error {
 	switch {
 	case !isValidName(s.Member, maxNameBytes) || !isValidName(s.Zone, maxNameBytes):
@@ -46,9 +48,10 @@
 	case len(s.Regions) > maxZones:
 		return fmt.Errorf("sample of member %q: %d regions, at most %d", s.Member, len(s.Regions), maxZones)
 	case s.Dropped < 0 || s.Dropped > maxDropped:
-		return fmt.Errorf("sample of member %q: %d cells dropped", s.Member, s.Dropped)
+		return fmt.Errorf("sample of member %q: %d dropped measurements is out of range", s.Member, s.Dropped)
 	case len(s.Measurements) > maxMeasurements:
-		return fmt.Errorf("sample of member %q: %d cells, at most %d", s.Member, len(s.Measurements), maxMeasurements)
+		return fmt.Errorf("sample of member %q: %d measurements, at most %d",
+			s.Member, len(s.Measurements), maxMeasurements)
 	}
 	for i, region := range s.Regions {
 		if !isValidName(region, maxNameBytes) || slices.Contains(s.Regions[:i], region) {
@@ -62,12 +65,12 @@
 	seen := make(map[contractRegion]bool, len(s.Measurements))
 	for _, measurement := range s.Measurements {
 		if measurement.RegionIndex < 0 || measurement.RegionIndex >= len(s.Regions) {
-			return fmt.Errorf("sample of member %q: contract %.64q: region %d is none of its own",
+			return fmt.Errorf("sample of member %q: contract %.64q: region index %d is out of range",
 				s.Member, measurement.Contract, measurement.RegionIndex)
 		}
 		key := s.key(measurement)
 		if seen[key] || !isValidName(key.contract, maxNameBytes) || !measurement.Histogram.isPlausible() {
-			return fmt.Errorf("sample of member %q: contract %.64q, region %q: no histogram, or a second one",
+			return fmt.Errorf("sample of member %q: contract %.64q, region %q: invalid or duplicate histogram",
 				s.Member, key.contract, key.region)
 		}
 		seen[key] = true
--- a/internal/fleet/slo/scale_test.go
+++ b/internal/fleet/slo/scale_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// An hour of 1,000 contracts in 12 regions, two of which grow slow, one small, one evacuated for
-// ten minutes: no region is given more than its capacity, and the last 20 minutes are calm. The
-// contract whose objective no region meets says so and stays.
+// One hour with 1,000 contracts in 12 regions, two of which become slow, one is small, and one is
+// evacuated for ten minutes. No region may be given more than its capacity, and less than 1 % may
+// be moved per minute in the last 20 minutes. A contract whose objective no region meets must be
+// marked as unmet.
 func TestHourOfSlowRegions(t *testing.T) {
 	sim := newSimulation(t, 1000, 12, 4, 0.4)
 	sim.cfg.SampleInterval, sim.cfg.LateSampleTimeout, sim.cfg.EvidenceIntervals = 10*time.Second, 10*time.Second, 3
@@ -36,16 +37,16 @@
 	t.Logf("moved in the busiest of the last 20 minutes %.4f; max load %.3f; windows met %v of %v",
 		sim.busiestMinute(40), sim.maxLoad, sim.metWindows, sim.windows)
 	if sim.maxLoad > 1 || sim.busiestMinute(40) >= 0.01 || movedByNewLeader > 0 {
-		t.Errorf("max load %.3f; %.4f moved a minute; %.1f by a leader without evidence",
+		t.Errorf("max load %.3f; %.4f moved per minute; %.1f by a leader without evidence",
 			sim.maxLoad, sim.busiestMinute(40), movedByNewLeader)
 	}
 	if allocation, _ := sim.state.Allocation(unattainable.Name); allocation.UnmetReason == "" {
-		t.Errorf("%s can't be met and is not said to be: %+v", unattainable.Name, allocation)
+		t.Errorf("%s can't be met but is not marked as unmet: %+v", unattainable.Name, allocation)
 	}
 }
 
-// One evaluation with 1,000 contracts that may use all of 12 regions, and all observations of
-// an interval.
+// BenchmarkEvaluate measures one evaluation with 1,000 contracts that may use all of 12 regions, and
+// all observations of one interval.
 func BenchmarkEvaluate(b *testing.B) {
 	sim := newSimulation(b, 1000, 12, 12, 0.4)
 	sim.run(time.Minute)
@@ -67,8 +68,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// fullSample is a member's sample with as many measurements as there may be, of four response
-// times each.
+// fullSample returns a member's sample with MaxMeasurements measurements of four response times
+// each.
 func fullSample(sim *simulation, member int) *Sample {
 	zone := sim.regions[member%len(sim.regions)].Name
 	recorder := NewRecorder(sim.cfg, fmt.Sprint("n", member), zone, 1)
@@ -82,7 +83,8 @@
 	return recorder.Rotate(sim.now + sim.cfg.SampleInterval)
 }
 
-// What a member holds that receives all others' samples, each as large as it may be.
+// BenchmarkAggregator measures the memory and the merge time of a member that receives samples of
+// the maximum size from all other members.
 func BenchmarkAggregator(b *testing.B) {
 	for _, members := range []int{10, 100, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
@@ -113,7 +115,7 @@
 	}
 }
 
-// observeAllIntervals has a controller observe the same in every interval that is evidence.
+// observeAllIntervals adds the same observations to a controller for every evidence interval.
 func observeAllIntervals(sim *simulation, controller *Controller, observations []Observation) {
 	for interval := range int64(sim.cfg.EvidenceIntervals) {
 		for k := range observations {
@@ -123,7 +125,8 @@
 	}
 }
 
-// A node that measures every pair there is.
+// BenchmarkRecorder measures a node that records response times for every pair of contract and
+// region.
 func BenchmarkRecorder(b *testing.B) {
 	sim := newSimulation(b, 1000, 12, 12, 0.4)
 	sim.cfg.MaxMeasurements = maxMeasurementsLimit
--- a/internal/fleet/slo/simulation_test.go
+++ b/internal/fleet/slo/simulation_test.go
@@ -11,8 +11,8 @@
 
 const simulationStartMinute = 1_000_000
 
-// simulation closes the control loop in simulated time: a region's response times grow with its
-// load as those of an M/M/1 queue, so whatever is steered there makes it slower for all.
+// simulation runs the closed control loop in simulated time. A region's response times grow with
+// its load as in an M/M/1 queue, so sessions that are moved into it slow it down for all contracts.
 type simulation struct {
 	t              testing.TB
 	cfg            Config
@@ -20,19 +20,19 @@
 	state          State
 	now            time.Duration
 	regions        []Region
-	meanMs         map[string]float64 // response time of a region without load
-	demand         map[string]float64 // session set-ups a second, by contract
+	meanMs         map[string]float64 // mean response time of a region without load
+	demand         map[string]float64 // session set-ups per second, by contract
 	rng            *rand.Rand
-	observations   []Observation // of the interval before
-	frozen         bool          // no change is applied
-	movedPerMinute []float64     // session set-ups a second that were moved
+	observations   []Observation // of the previous interval
+	frozen         bool          // changes are not applied
+	movedPerMinute []float64     // moved session set-ups per second
 	metWindows     [3]int        // windows that met the objective, by priority
 	windows        [3]int
-	maxLoad        float64 // of any region, over its capacity
+	maxLoad        float64 // largest load of any region over its capacity
 }
 
-// newSimulation has regions with the same capacity, filled to a part by contracts that may each
-// use some of them (choices).
+// newSimulation returns a simulation of regions of equal capacity. The contracts fill a fraction of
+// the capacity, and each may use as many regions as choices says.
 func newSimulation(t testing.TB, contracts, regions, choices int, fill float64) *simulation {
 	sim := &simulation{
 		t:      t,
@@ -69,7 +69,8 @@
 	return sim
 }
 
-// shares says where a contract's sessions go: evenly to its zones while it is not steered.
+// shares returns the distribution of a contract's sessions. A contract without an allocation is
+// spread evenly over its zones.
 func (s *simulation) shares(contract *Contract) Shares {
 	if allocation, ok := s.state.Allocation(contract.Name); ok {
 		return allocation.Shares
@@ -81,7 +82,7 @@
 	return even
 }
 
-// load is each region's load over its capacity.
+// load returns the ratio of load to capacity by region.
 func (s *simulation) load() map[string]float64 {
 	load := map[string]float64{}
 	for i := range s.state.Contracts {
@@ -96,7 +97,7 @@
 	return load
 }
 
-// steerAll sends all contracts to some regions, as an earlier leader had them.
+// steerAll allocates all contracts to the given shares, as if by an earlier leader.
 func (s *simulation) steerAll(shares Shares) {
 	for _, contract := range s.state.Contracts {
 		allocation := Allocation{Contract: contract.Name, Shares: shares, SteeredAt: 1}
@@ -111,7 +112,7 @@
 	return total
 }
 
-// movedFraction is the fraction of all session set-ups that was moved from a minute on.
+// movedFraction returns the fraction of all session set-ups that was moved from a minute on.
 func (s *simulation) movedFraction(fromMinute int) (sum float64) {
 	for _, moved := range s.movedPerMinute[fromMinute:] {
 		sum += moved / s.totalDemand()
@@ -119,8 +120,8 @@
 	return sum
 }
 
-// busiestMinute is the fraction of all session set-ups that was moved in the busiest minute
-// from one on.
+// busiestMinute returns the fraction of all session set-ups that was moved in the busiest minute
+// from the given one on.
 func (s *simulation) busiestMinute(fromMinute int) float64 {
 	busiest := 0.0
 	for _, moved := range s.movedPerMinute[fromMinute:] {
@@ -129,13 +130,13 @@
 	return busiest / s.totalDemand()
 }
 
-// metFraction is the fraction of all windows that met the objective.
+// metFraction returns the fraction of all windows that met the objective.
 func (s *simulation) metFraction() float64 {
 	met := s.metWindows[0] + s.metWindows[1] + s.metWindows[2]
 	return float64(met) / float64(s.windows[0]+s.windows[1]+s.windows[2])
 }
 
-// run lets time pass by intervals; the observations of an interval come with the next.
+// run advances time by intervals. The observations of an interval are evaluated in the next one.
 func (s *simulation) run(duration time.Duration) {
 	for end := s.now + duration; s.now < end; s.now += s.cfg.SampleInterval {
 		load := s.load()
@@ -148,7 +149,7 @@
 	}
 }
 
-// measure draws a contract's response times of one interval.
+// measure draws a contract's response times for one interval.
 func (s *simulation) measure(contract *Contract, load map[string]float64) {
 	missed, total := 0.0, 0.0
 	shares := s.shares(contract)
@@ -181,7 +182,7 @@
 	}
 }
 
-// fastAndSlow is a histogram of response times of 10 ms and of 500 ms.
+// fastAndSlow returns a histogram of response times of 10 ms and 500 ms.
 func fastAndSlow(fast, slow int) (histogram Histogram) {
 	const fastMs, slowMs = 10, 500
 	step := uint64(slowMs)
@@ -195,7 +196,7 @@
 	return histogram
 }
 
-// step evaluates and applies the change.
+// step evaluates the observations and applies the proposed change.
 func (s *simulation) step(observations []Observation) {
 	minute := int(s.now/time.Minute) - simulationStartMinute
 	for len(s.movedPerMinute) <= minute {
@@ -222,7 +223,8 @@
 	}
 }
 
-// maxShare is the greatest share that any contract has in a region within two minutes.
+// maxShare runs the simulation for 24 intervals, two minutes by default, and returns the largest
+// share that any contract had in a region.
 func (s *simulation) maxShare(region string) (largest float64) {
 	for range 24 {
 		s.run(s.cfg.SampleInterval)
--- a/internal/fleet/slo/state.go
+++ b/internal/fleet/slo/state.go
@@ -8,36 +8,36 @@
 	"strings"
 )
 
-// State is what the replicated log holds: the contracts, and where their sessions go. It is
-// never changed in place.
+// State is the replicated state: the contracts and their allocations. It is never changed in place.
 type State struct {
 	Version           uint64     `json:"version"`             // counts changes of contracts
 	AllocationVersion uint64     `json:"steps,omitempty"`     // counts changes of allocations
-	Contracts         []Contract `json:"contracts,omitempty"` // by name
-	// Allocations are by contract. A contract without one goes where its routes say.
+	Contracts         []Contract `json:"contracts,omitempty"` // sorted by name
+	// Allocations are sorted by contract. The sessions of a contract without an allocation follow
+	// its routes.
 	Allocations []Allocation `json:"steered,omitempty"`
 }
 
-// Change is an entry of the replicated log: contracts set and dropped, which the holder's
-// authority signs, or allocations, which are the fleet's own decision, but not both.
+// Change is an entry of the replicated log. It either sets and drops contracts, signed under the
+// holder's authority, or sets allocations, which the fleet decides itself, but not both.
 type Change struct {
-	BaseVersion           uint64     `json:"base"`            // the State's Version it was made on
-	BaseAllocationVersion uint64     `json:"after,omitempty"` // with Allocations, the State's AllocationVersion too
+	BaseVersion           uint64     `json:"base"`            // the State.Version that it applies to
+	BaseAllocationVersion uint64     `json:"after,omitempty"` // with Allocations, also State.AllocationVersion
 	Set                   []Contract `json:"set,omitempty"`
 	Drop                  []string   `json:"drop,omitempty"`
-	// Allocations have their times set when they are applied.
+	// The times of Allocations are set when the change is applied.
 	Allocations []Allocation `json:"steer,omitempty"`
 }
 
 const (
-	// minSteerIntervalMs is the time, in ms, within which a contract is steered twice at most.
+	// minSteerIntervalMs is the period in ms within which a contract is steered at most twice.
 	minSteerIntervalMs = 60_000
 
-	// maxUnixMs is far beyond any clock's time.
+	// maxUnixMs is the latest accepted time, which no working clock reaches.
 	maxUnixMs = 1 << 52
 )
 
-// Contract returns the contract of that name.
+// Contract returns the contract with the given name, if there is one.
 func (s State) Contract(name string) (Contract, bool) {
 	index, ok := slices.BinarySearchFunc(s.Contracts, name, func(contract Contract, target string) int {
 		return strings.Compare(contract.Name, target)
@@ -48,7 +48,7 @@
 	return s.Contracts[index], true
 }
 
-// Allocation returns where a contract's sessions go, if that was ever decided.
+// Allocation returns the allocation of the contract with the given name, if there is one.
 func (s State) Allocation(name string) (Allocation, bool) {
 	index, ok := s.allocationIndex(name)
 	if !ok {
@@ -63,9 +63,9 @@
 	})
 }
 
-// Apply returns the state after a change made at a time (Unix ms), or the unchanged state and
-// why the change is rejected. mayGrant returns an error if the change's author may not give
-// contracts to a holder; it is not called for allocations.
+// Apply returns the state after a change made at a time (Unix ms). If it rejects the change, it
+// returns the unchanged state and the reason as an error. mayGrant returns an error if the author
+// of the change may not grant contracts to a holder; it is not called for allocations.
 func (s State) Apply(change Change, at int64, mayGrant func(holder string) error) (State, error) {
 	contractChanges := len(change.Set) + len(change.Drop)
 	switch {
@@ -101,7 +101,7 @@
 	for _, name := range slices.Sorted(maps.Keys(contracts)) {
 		next.Contracts = append(next.Contracts, contracts[name])
 	}
-	// Allocations stand, unless their contract no longer allows them.
+	// Allocations remain in effect unless their contract no longer allows them.
 	for _, allocation := range s.Allocations {
 		if contract, ok := contracts[allocation.Contract]; ok && contract.checkZones(allocation.Shares) == nil {
 			next.Allocations = append(next.Allocations, allocation)
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// setContracts needs the grant of the new holder and, where the holder changes, of the old one.
+// setContracts adds or replaces contracts. The author needs permission for the new holder and, if
+// the holder changes, for the previous one.
 func setContracts(contracts map[string]Contract, set []Contract, mayGrant func(holder string) error) error {
 	seen := map[string]bool{}
 	for _, contract := range set {
@@ -178,7 +179,8 @@
 			continue
 		}
 		previous := &next.Allocations[index]
-		// A clock behind the last proposer's gains nothing.
+		// SteeredAt never decreases, so a clock behind the previous proposer's clock does not allow
+		// more frequent changes.
 		steeredAt := max(at, previous.SteeredAt)
 		if previous.PreviouslySteeredAt > 0 && steeredAt < previous.PreviouslySteeredAt+minSteerIntervalMs {
 			return s, fmt.Errorf("contract %q: steered twice within %d s", allocation.Contract, minSteerIntervalMs/1000)
--- a/internal/fleet/slo/state_test.go
+++ b/internal/fleet/slo/state_test.go
@@ -30,14 +30,15 @@
 	return nil
 }
 
-// setting is a change that sets one more contract; steering moves the one there is.
-func setting(edit func(*Contract)) Change {
+// settingChange returns a change that sets an additional contract.
+func settingChange(edit func(*Contract)) Change {
 	c := contract("x")
 	edit(&c)
 	return Change{BaseVersion: 1, Set: []Contract{c}}
 }
 
-func steering(edit func(*Allocation)) Change {
+// steeringChange returns a change that sets the allocation of the existing contract.
+func steeringChange(edit func(*Allocation)) Change {
 	allocation := Allocation{Contract: "k", Shares: Shares{"a": 0.25, "b": 0.75}}
 	edit(&allocation)
 	return Change{BaseVersion: 1, Allocations: []Allocation{allocation}}
@@ -48,30 +49,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	afterOtherStep := steering(func(*Allocation) {})
-	afterOtherStep.BaseAllocationVersion = 3
+	afterOtherChange := steeringChange(func(*Allocation) {})
+	afterOtherChange.BaseAllocationVersion = 3
 	for _, tt := range []struct {
 		name, err string
 		change    Change
 	}{
-		{"another one", "", setting(func(*Contract) {})},
-		{"decided on another state", "version 7", Change{BaseVersion: 7, Drop: []string{"k"}}},
+		{"additional contract", "", settingChange(func(*Contract) {})},
+		{"different base version", "version 7", Change{BaseVersion: 7, Drop: []string{"k"}}},
 		{"nothing", "changes nothing", Change{BaseVersion: 1}},
 		{"both", "one of both", Change{BaseVersion: 1, Drop: []string{"k"}, Allocations: []Allocation{{}}}},
-		{"somebody else's", "not yours", setting(func(c *Contract) { c.Holder = "other" })},
-		{"no such", "there is none", Change{BaseVersion: 1, Drop: []string{"x"}}},
-		{"no error budget", "share", setting(func(c *Contract) { c.Target = 1 })},
-		{"never met", "bound", setting(func(c *Contract) { c.Objective = 0 })},
-		{"zones twice", "zones", setting(func(c *Contract) { c.Zones = []string{"a", "a"} })},
+		{"holder without permission", "not yours", settingChange(func(c *Contract) { c.Holder = "other" })},
+		{"unknown contract", "there is none", Change{BaseVersion: 1, Drop: []string{"x"}}},
+		{"no error budget", "share", settingChange(func(c *Contract) { c.Target = 1 })},
+		{"objective is 0", "bound", settingChange(func(c *Contract) { c.Objective = 0 })},
+		{"duplicate zone", "zones", settingChange(func(c *Contract) { c.Zones = []string{"a", "a"} })},
 		{"dropped", "", Change{BaseVersion: 1, Drop: []string{"k"}}},
-		{"steered", "", steering(func(*Allocation) {})},
-		{"steered by halves of thousandths", "", steering(func(a *Allocation) {
+		{"steered", "", steeringChange(func(*Allocation) {})},
+		{"shares are rounded to thousandths", "", steeringChange(func(a *Allocation) {
 			a.Shares = Shares{"a": 0.2503, "b": 0.7497}
 		})},
-		{"steered after another step", "step 3", afterOtherStep},
-		{"too little", "add up", steering(func(a *Allocation) { a.Shares["a"] = 0.2 })},
-		{"below nothing", "a share is", steering(func(a *Allocation) { a.Shares["a"], a.Shares["b"] = -0.5, 1.5 })},
-		{"a zone that it may not use", `zone "c"`, steering(func(a *Allocation) {
+		{"different base allocation version", "step 3", afterOtherChange},
+		{"shares below 1", "add up", steeringChange(func(a *Allocation) { a.Shares["a"] = 0.2 })},
+		{"negative share", "a share is", steeringChange(func(a *Allocation) {
+			a.Shares["a"], a.Shares["b"] = -0.5, 1.5
+		})},
+		{"zone not allowed", `zone "c"`, steeringChange(func(a *Allocation) {
 			a.Shares = Shares{"c": 1}
 		})},
 	} {
@@ -81,13 +84,13 @@
 			t.Errorf("%s: %v, want %q", tt.name, err, tt.err)
 		}
 		if err != nil && !reflect.DeepEqual(next, state) || fmt.Sprint(state) != before {
-			t.Errorf("%s: changed what it was applied to", tt.name)
+			t.Errorf("%s: changed the original state", tt.name)
 		}
 	}
 }
 
-// However entries and their clocks follow one another, a contract is steered twice at most
-// within a minute of the entries' own time.
+// For any order of entries and clock readings, a contract must be steered at most twice within a
+// minute of the entries' recorded times.
 func TestContractIsSteeredAtMostTwiceAMinute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, _ := State{}.Apply(Change{Set: []Contract{contract("k")}}, 1, mayGrant)
