--- a/internal/flowtable/eviction.go
+++ b/internal/flowtable/eviction.go
@@ -1,7 +1,7 @@
 package flowtable
 
-// ensureFreeEntry applies the policy: it evicts a flow where a new one needs its entry, and
-// returns false if the new flow is rejected.
+// ensureFreeEntry applies the policy to a new flow: it evicts another flow if the policy requires
+// it, and returns false if the policy rejects the new flow.
 func (t *Table) ensureFreeEntry(evicted func(Ref)) bool {
 	full := t.firstFree == noEntry
 	switch t.options.Policy {
@@ -16,7 +16,9 @@
 	return !full
 }
 
-// ensureUnreservedEntry keeps unsettled flows out of the reserved share of the table.
+// ensureUnreservedEntry implements Reserve: it evicts the oldest unsettled flow if the table is
+// full or if unsettled flows fill its unreserved share. It returns false if the table is full of
+// settled flows.
 func (t *Table) ensureUnreservedEntry(full bool, evicted func(Ref)) bool {
 	unreserved := len(t.entries) - int(t.options.ReservedShare*float64(len(t.entries)))
 	if !full && t.unsettled < unreserved {
--- a/internal/flowtable/expiry.go
+++ b/internal/flowtable/expiry.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// slotsPerTimeout is how many slots of the timer wheel the idle timeout is cut into.
+	// slotsPerTimeout is the number of timer wheel slots that make up the idle timeout.
 	slotsPerTimeout = 64
-	// wheelSlots has two slots more: the one that is being filled and the one being emptied.
+	// wheelSlots adds two slots: the one that is being filled and the one that is being emptied.
 	wheelSlots = slotsPerTimeout + 2
 )
 
-// Advance expires idle flows and looks at no more than budget entries. expired is called for
-// each, while its Ref is still valid; it may be nil. Advance returns false if there are more
-// entries to look at, and should then be called again soon.
+// Advance expires idle flows and examines at most budget entries. It calls expired, which may be
+// nil, for each expired flow while the flow's Ref is still valid. Advance returns false if entries
+// are left to examine; the caller should then call it again soon.
 func (t *Table) Advance(now time.Duration, budget int, expired func(Ref)) (done bool) {
 	t.advanceClock(now)
 	target := int64(t.now / t.tickLength)
-	if target-t.tick > wheelSlots { // after a long pause each slot is looked at once
+	if target-t.tick > wheelSlots { // after a long pause, visit each slot once
 		t.tick = target - wheelSlots
 	}
 	for t.expiringSlot != noEntry || t.tick < target {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// expireOrReschedule removes the flow if it is idle. Datagrams don't move their flow in the
-// wheel: one that had some since it was scheduled is moved to its right slot here.
+// expireOrReschedule removes a flow whose idle timeout has passed. Touch does not move a flow in
+// the wheel, so a flow that received datagrams after it was scheduled moves to its slot here.
 func (t *Table) expireOrReschedule(i int32, expired func(Ref)) {
 	if t.entries[i].lastSeen+t.options.IdleTimeout > t.now {
 		t.unschedule(i)
@@ -52,13 +52,13 @@
 	t.Remove(r)
 }
 
-// expiryTick is the first tick that begins after the entry's idle timeout.
+// expiryTick returns the first tick that begins after the entry's idle timeout.
 func (t *Table) expiryTick(i int32) int64 {
 	expiresAt := t.entries[i].lastSeen + t.options.IdleTimeout
 	return max(int64(expiresAt/t.tickLength)+1, t.tick+1)
 }
 
-// schedule puts an entry into the slot of its expiry.
+// schedule inserts an entry into the wheel slot of its expiry tick.
 func (t *Table) schedule(i int32) {
 	e := &t.entries[i]
 	slot := t.expiryTick(i) % wheelSlots
@@ -70,7 +70,8 @@
 	t.wheel[slot] = i
 }
 
-// unschedule takes an entry out of its slot, also while Advance looks at that slot.
+// unschedule removes an entry from its wheel slot. It is safe while Advance iterates over that
+// slot: if the entry is the next one of the iteration, the iteration continues after it.
 func (t *Table) unschedule(i int32) {
 	e := &t.entries[i]
 	if t.expiringSlot == e.slot && t.nextExpiring == i {
@@ -86,9 +87,9 @@
 	}
 }
 
-// longestIdle finds the entry that has been idle longest, to within a slot of the wheel, in
-// a table that is not empty. Entries that had datagrams since they were scheduled are moved to
-// their right slot, so that each is skipped at most once for each datagram.
+// longestIdle returns the entry that has been idle longest, with the precision of one wheel slot.
+// The table must not be empty. An entry that received datagrams after it was scheduled moves to
+// its slot, so that each datagram causes an entry to be skipped at most once.
 func (t *Table) longestIdle() int32 {
 	for tick := t.tick; ; tick++ {
 		for i := t.wheel[tick%wheelSlots]; i != noEntry; {
@@ -96,7 +97,7 @@
 			if expiryTick == tick {
 				return i
 			}
-			if expiryTick%wheelSlots != tick%wheelSlots { // else it is due in a later turn of the wheel
+			if expiryTick%wheelSlots != tick%wheelSlots { // equal: due in a later turn of the wheel
 				t.unschedule(i)
 				t.schedule(i)
 			}
--- a/internal/flowtable/index.go
+++ b/internal/flowtable/index.go
@@ -7,7 +7,8 @@
 	return uint32(sum) ^ uint32(sum>>32)
 }
 
-// find returns the position of a key in the index, or the empty one where it would be added.
+// find returns the position of a key in the index. If the key is absent, ok is false and position
+// is the empty position at which the key would be inserted.
 func (t *Table) find(key Key, hash uint32) (position uint32, ok bool) {
 	for position = hash & t.mask; ; position = (position + 1) & t.mask {
 		i := t.index[position]
@@ -20,14 +21,14 @@
 	}
 }
 
-// addToIndex adds an entry whose key is not in the index.
+// addToIndex inserts an entry whose key is not in the index.
 func (t *Table) addToIndex(i int32) {
 	position, _ := t.find(t.entries[i].key, t.entries[i].hash)
 	t.index[position] = i
 }
 
-// removeFromIndex removes an entry and closes the gap (Knuth, volume 3, 6.4, algorithm R),
-// so that lookups need no tombstones.
+// removeFromIndex removes an entry and shifts later entries back into the gap (Knuth, volume 3,
+// section 6.4, algorithm R), so that the index needs no tombstones.
 func (t *Table) removeFromIndex(i int32) {
 	position, _ := t.find(t.entries[i].key, t.entries[i].hash)
 	for gap := position; ; {
--- a/internal/flowtable/liveness_test.go
+++ b/internal/flowtable/liveness_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// history is what happened with an endpoint, and the time up to now.
+// history builds the evidence of one endpoint step by step and advances the time.
 type history struct {
 	evidence LivenessEvidence
 	now      time.Duration
 }
 
-// answered adds datagrams that were answered, 10 ms apart.
+// answered records datagrams, 10 ms apart, each of which was answered.
 func (h *history) answered(datagrams int) {
 	for range datagrams {
 		h.evidence.Sent(h.now)
@@ -20,7 +20,7 @@
 	}
 }
 
-// unanswered adds datagrams that were not answered.
+// unanswered records datagrams without an answer.
 func (h *history) unanswered(datagrams int, interval time.Duration) {
 	for range datagrams {
 		h.evidence.Sent(h.now)
@@ -28,7 +28,7 @@
 	}
 }
 
-// probed adds the result of a probe.
+// probed records the result of a probe and sets the time to that of the probe.
 func (h *history) probed(at time.Duration, ok bool) {
 	h.evidence.ProbeAnswered(at, ok)
 	h.now = at
@@ -78,13 +78,13 @@
 			var h history
 			test.play(&h)
 			if got := h.evidence.IsSilent(h.now, test.options); got != test.want {
-				t.Errorf("silent is %v at %v", got, h.now)
+				t.Errorf("IsSilent returned %v at %v", got, h.now)
 			}
 		})
 	}
 }
 
-// answersSome is an endpoint that answers a fifth of its datagrams, and then none.
+// answersSome records an endpoint that answers a fifth of its datagrams and then stops answering.
 func answersSome(h *history) {
 	h.now = time.Second
 	for range 50 {
--- a/internal/flowtable/model_test.go
+++ b/internal/flowtable/model_test.go
@@ -6,15 +6,15 @@
 	"pgregory.net/rapid"
 )
 
-// model is a table written in the plainest way: a map that is searched from end to end. It
-// drives a Table through random steps and fails the test where the two differ.
+// model is a reference implementation of Table: a map that is searched linearly. It applies
+// random steps to a Table and fails the test if the two differ.
 type model struct {
-	options  Options
-	table    *Table
-	now      time.Duration
-	flows    map[Key]*modelFlow
-	removed  []Ref
-	nextRank int
+	options      Options
+	table        *Table
+	now          time.Duration
+	flows        map[Key]*modelFlow
+	removed      []Ref
+	lastSequence int
 }
 
 type modelFlow struct {
@@ -22,7 +22,7 @@
 	firstSeen time.Duration
 	lastSeen  time.Duration
 	datagrams int
-	rank      int // order of admission
+	sequence  int // in the order of admission
 	settled   bool
 }
 
@@ -30,10 +30,10 @@
 	return &model{options: options, table: NewTable(options), flows: map[Key]*modelFlow{}}
 }
 
-// step makes one random step and compares the table with the model.
+// step applies one random step and compares the table with the model.
 func (m *model) step(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
-	case 0, 1: // the clock goes on, or is set back
+	case 0, 1: // the clock advances or is set back
 		m.now += time.Duration(rapid.IntRange(-50, 300).Draw(t, "ms")) * time.Millisecond
 	case 2:
 		m.advance(t)
@@ -49,9 +49,9 @@
 	expired := func(r Ref) {
 		flow := m.flows[m.table.Key(r)]
 		if flow != nil && flow.lastSeen+m.options.IdleTimeout > m.table.now {
-			t.Fatalf("expired %v early", m.options.IdleTimeout-(m.table.now-flow.lastSeen))
+			t.Fatalf("flow expired %v early", m.options.IdleTimeout-(m.table.now-flow.lastSeen))
 		}
-		m.forget(t, r)
+		m.recordRemoval(t, r)
 	}
 	for done := false; !done; {
 		done = m.table.Advance(m.now, rapid.IntRange(1, 5).Draw(t, "most"), expired)
@@ -64,12 +64,12 @@
 	}
 }
 
-// forget is called for each flow that the table expires or evicts.
-func (m *model) forget(t *rapid.T, r Ref) {
+// recordRemoval removes a flow that the table expires or evicts from the model.
+func (m *model) recordRemoval(t *rapid.T, r Ref) {
 	key := m.table.Key(r)
 	flow := m.flows[key]
 	if flow == nil || flow.ref != r || !m.table.IsValid(r) {
-		t.Fatalf("forgets %v, which is not a known flow", r)
+		t.Fatalf("table removed %v, which is not a known flow", r)
 	}
 	delete(m.flows, key)
 	m.removed = append(m.removed, r)
@@ -88,7 +88,7 @@
 	r, ok := m.table.Lookup(key)
 	flow := m.flows[key]
 	if ok != (flow != nil) || ok && r != flow.ref {
-		t.Fatalf("lookup of %v: %v, %v, want %+v", key, r, ok, flow)
+		t.Fatalf("Lookup(%v) = %v, %v, want %+v", key, r, ok, flow)
 	}
 	if ok {
 		m.touch(t, flow)
@@ -105,7 +105,7 @@
 		flow.settled = true
 	}
 	if got := m.table.IsSettled(flow.ref); got != flow.settled {
-		t.Fatalf("settled %v, want %v", got, flow.settled)
+		t.Fatalf("IsSettled returned %v, want %v", got, flow.settled)
 	}
 }
 
@@ -113,18 +113,19 @@
 	var evicted *modelFlow
 	r, verdict := m.table.Admit(key, m.now, func(r Ref) {
 		evicted = m.flows[m.table.Key(r)]
-		m.forget(t, r)
+		m.recordRemoval(t, r)
 	})
 	m.checkAdmission(t, evicted, verdict)
 	if verdict != Admitted {
 		return
 	}
-	m.nextRank++
+	m.lastSequence++
 	now := m.table.now
-	m.flows[key] = &modelFlow{ref: r, firstSeen: now, lastSeen: now, datagrams: 1, rank: m.nextRank}
+	m.flows[key] = &modelFlow{ref: r, firstSeen: now, lastSeen: now, datagrams: 1, sequence: m.lastSequence}
 }
 
-// checkAdmission checks an admission against the policy. The evicted flow has left the model.
+// checkAdmission checks an admission against the policy. The model no longer contains the evicted
+// flow.
 func (m *model) checkAdmission(t *rapid.T, evicted *modelFlow, verdict Verdict) {
 	before := len(m.flows)
 	if evicted != nil {
@@ -153,7 +154,7 @@
 	slack := 2 * m.options.IdleTimeout / slotsPerTimeout
 	for _, kept := range m.flows {
 		if evicted.lastSeen > kept.lastSeen+slack {
-			t.Fatalf("idle: evicted one last seen at %v, another is idle since %v", evicted.lastSeen, kept.lastSeen)
+			t.Fatalf("idle: evicted a flow seen at %v, kept one seen at %v", evicted.lastSeen, kept.lastSeen)
 		}
 	}
 }
@@ -169,21 +170,21 @@
 	unreserved := m.options.Entries - int(m.options.ReservedShare*float64(m.options.Entries))
 	mustEvict := full || unsettled >= unreserved
 	switch {
-	case evicted != nil && (!mustEvict || oldest != nil && oldest.rank < evicted.rank):
+	case evicted != nil && (!mustEvict || oldest != nil && oldest.sequence < evicted.sequence):
 		t.Fatalf("reserve: evicted %+v, full %v, %d unsettled of %d", evicted, full, unsettled, unreserved)
 	case verdict == Full && (!full || unsettled > 0):
 		t.Fatalf("reserve: rejected, full %v, %d unsettled", full, unsettled)
 	}
 }
 
-// unsettled returns how many flows are unsettled, and the oldest of them.
+// unsettled returns the number of unsettled flows and the one that was admitted first.
 func (m *model) unsettled() (count int, oldest *modelFlow) {
 	for _, flow := range m.flows {
 		if flow.settled {
 			continue
 		}
 		count++
-		if oldest == nil || flow.rank < oldest.rank {
+		if oldest == nil || flow.sequence < oldest.sequence {
 			oldest = flow
 		}
 	}
@@ -193,20 +194,20 @@
 func (m *model) checkLen(t *rapid.T) {
 	for _, flow := range m.flows {
 		if !m.table.IsValid(flow.ref) {
-			t.Fatal("a flow that was never forgotten has no entry")
+			t.Fatal("a flow that was not removed has no entry")
 		}
 	}
 	wantUnsettled, _ := m.unsettled()
 	all, unsettled := m.table.Len()
 	if all != len(m.flows) || unsettled != wantUnsettled || all > m.options.Entries {
-		t.Fatalf("%d flows, %d unsettled, want %d and %d", all, unsettled, len(m.flows), wantUnsettled)
+		t.Fatalf("Len() = %d flows, %d unsettled, want %d and %d", all, unsettled, len(m.flows), wantUnsettled)
 	}
 }
 
 func (m *model) checkRemovedInvalid(t *rapid.T) {
 	for _, r := range m.removed {
 		if m.table.IsValid(r) {
-			t.Fatalf("%v is valid again", r)
+			t.Fatalf("%v of a removed flow is valid", r)
 		}
 	}
 }
--- a/internal/flowtable/pacer.go
+++ b/internal/flowtable/pacer.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// compactionSlack is how many flows a Pacer's queue holds at least before it is compacted.
+	// compactionSlack is the minimum number of flows by which a Pacer's queue grows between
+	// compactions.
 	compactionSlack = 1024
-	// minPacerWait is the shortest time that Pacer.Next tells its caller to wait.
+	// minPacerWait is the shortest wait that Pacer.Next returns while flows are queued.
 	minPacerWait = time.Millisecond
 )
 
-// Pacer spreads placements that come in a burst, such as those of all flows of an endpoint
-// that was lost: Burst of them at once, Rate a second after that, the others wait in a
-// queue. The dispatcher has budgets of its own besides.
+// Pacer limits the rate of placements with a token bucket and queues the flows beyond it. It
+// spreads bursts of placements, such as those of all flows of a lost endpoint. The dispatcher's
+// own budgets apply in addition.
 type Pacer struct {
-	Rate  float64 // placements a second
-	Burst float64 // placements at once
-	// NewestFirst has the newest flow placed first. In a flood the oldest ones are evicted
-	// before it is their turn.
+	Rate  float64 // placements per second
+	Burst float64 // capacity of the token bucket, in placements
+	// NewestFirst places the newest queued flow first. In a flood, the oldest queued flows are
+	// evicted before they can be placed.
 	NewestFirst bool
 
 	bucket       tokenBucket
-	started      bool // the bucket has been filled
+	started      bool // the bucket has been initialized
 	queue        []Ref
-	head         int // of the queue; what is before it has been taken
-	compactAbove int // the length of the queue above which Add compacts it
+	head         int // index of the first flow in queue that has not been taken
+	compactAbove int // length of queue above which Add compacts it
 }
 
-// Add puts a flow into the queue. A queue that has grown is rid of flows that isWanted rejects.
+// Add appends a flow to the queue. If the queue has grown beyond its limit, Add first removes the
+// flows for which isWanted returns false.
 func (p *Pacer) Add(ref Ref, isWanted func(Ref) bool) {
 	if len(p.queue) > p.compactAbove {
 		p.compact(isWanted)
@@ -34,6 +36,7 @@
 	p.queue = append(p.queue, ref)
 }
 
+// compact removes taken and unwanted flows from the queue and sets the next limit of its length.
 func (p *Pacer) compact(isWanted func(Ref) bool) {
 	kept := p.queue[:0]
 	for _, queued := range p.queue[p.head:] {
@@ -45,12 +48,12 @@
 	p.compactAbove = 2*len(kept) + compactionSlack
 }
 
-// Len returns how many flows wait, including those that are no longer wanted.
+// Len returns the number of queued flows, including those that are no longer wanted.
 func (p *Pacer) Len() int { return len(p.queue) - p.head }
 
-// Next takes the next flow from the queue. If ok is false there is none yet: wait is the time
-// until the next token, or 0 if no flow waits. Flows that isWanted rejects are dropped and
-// take no token; in a flood that is most of them.
+// Next removes and returns the next flow of the queue. If ok is false, no flow may be placed now:
+// wait is the time until the next token, or 0 if the queue is empty. Flows for which isWanted
+// returns false are dropped without taking a token; in a flood these are the majority.
 func (p *Pacer) Next(now time.Duration, isWanted func(Ref) bool) (ref Ref, ok bool, wait time.Duration) {
 	if !p.started {
 		p.started = true
--- a/internal/flowtable/pacer_test.go
+++ b/internal/flowtable/pacer_test.go
@@ -7,12 +7,12 @@
 
 func isFirstGeneration(r Ref) bool { return r.Gen == 0 }
 
-// The queue of a pacer whose flows are mostly unwanted does not grow, and the newest flow
-// is taken first.
+// Guards against unbounded growth of the queue while most flows are unwanted, and against a wrong
+// order with NewestFirst.
 func TestPacerServesNewestFirst(t *testing.T) {
 	const (
 		flows  = 100_000
-		wanted = 10 // the last ones
+		wanted = 10 // the ones added last
 	)
 	pacer := Pacer{Rate: 1, Burst: 2, NewestFirst: true}
 	for i := range flows {
@@ -23,15 +23,15 @@
 		pacer.Add(ref, isFirstGeneration)
 	}
 	if pacer.Len() > 3000 {
-		t.Errorf("%d in the queue", pacer.Len())
+		t.Errorf("%d flows in the queue", pacer.Len())
 	}
 	for want := int32(flows - 1); want > flows-3; want-- {
 		if r, ok, _ := pacer.Next(0, isFirstGeneration); !ok || r.Index != want {
-			t.Errorf("%v, %v, want %d", r, ok, want)
+			t.Errorf("Next returned %v, %v, want index %d", r, ok, want)
 		}
 	}
 	if _, ok, wait := pacer.Next(0, isFirstGeneration); ok || wait <= 0 {
-		t.Error("beyond its burst")
+		t.Error("Next returned a flow beyond the burst, or no wait")
 	}
 }
 
@@ -47,20 +47,20 @@
 			r, ok, wait := pacer.Next(ms*time.Millisecond, isFirstGeneration)
 			if !ok {
 				if wait <= 0 && pacer.Len() > 0 {
-					t.Fatal("flows wait, and Next does not tell how long")
+					t.Fatal("Next returned no wait while flows are queued")
 				}
 				break
 			}
 			if r.Index != next {
-				t.Fatalf("%d, want %d", r.Index, next)
+				t.Fatalf("Next returned index %d, want %d", r.Index, next)
 			}
 			next++
 		}
 		if most := 10 + 100*(float64(ms)+1)/1000; float64(next) > most {
-			t.Fatalf("%d within %d ms", next, ms)
+			t.Fatalf("%d flows placed within %d ms", next, ms)
 		}
 		if ms > 31_000 {
-			t.Fatal("too slow")
+			t.Fatal("the queue was not empty after 31 s")
 		}
 	}
 }
--- a/internal/flowtable/queue.go
+++ b/internal/flowtable/queue.go
@@ -1,24 +1,25 @@
 package flowtable
 
-// QueueBudget is what all flows together may still queue. Queues take from it and give back.
+// QueueBudget is the number of datagrams and bytes that all queues together may still accept.
+// Queue.Put deducts from it, and a datagram that leaves its queue adds to it.
 type QueueBudget struct{ Count, Bytes int }
 
-// QueueLimit limits the datagrams and bytes in one flow's queue.
+// QueueLimit is the maximum number of datagrams and bytes in one flow's queue.
 type QueueLimit struct{ Count, Bytes int }
 
-// Queue holds the datagrams of one flow that wait for its placement, the oldest first. Its
-// zero value is empty.
+// Queue holds the datagrams of one flow that wait for its placement, oldest first. The zero value
+// is an empty queue.
 type Queue struct {
 	datagrams [][]byte
 	bytes     int
 }
 
-// Len returns how many datagrams wait.
+// Len returns the number of queued datagrams.
 func (q *Queue) Len() int { return len(q.datagrams) }
 
-// Put appends a datagram, which then belongs to the queue. Where the limit or the budget is
-// reached, the oldest datagrams of this flow are dropped for it, never those of another, and
-// the datagram itself if that is not enough. dropped is called for each.
+// Put appends a datagram and takes ownership of it. If the limit or the budget would be exceeded,
+// Put drops the oldest datagrams of this queue, never those of another one, and drops the new
+// datagram if that is not enough. It calls dropped for each dropped datagram.
 func (q *Queue) Put(datagram []byte, limit QueueLimit, budget *QueueBudget, dropped func([]byte)) {
 	for q.Len() > 0 && !q.hasCapacity(len(datagram), limit, *budget) {
 		dropped(q.pop(budget))
@@ -48,7 +49,7 @@
 	return datagram
 }
 
-// Drain empties the queue and delivers each datagram in order.
+// Drain empties the queue and calls deliver for each datagram in order.
 func (q *Queue) Drain(budget *QueueBudget, deliver func([]byte)) {
 	for len(q.datagrams) > 0 {
 		deliver(q.pop(budget))
--- a/internal/flowtable/queue_test.go
+++ b/internal/flowtable/queue_test.go
@@ -6,21 +6,22 @@
 	"pgregory.net/rapid"
 )
 
-// queueTest is several queues that share a budget.
+// queueTest drives several queues that share a budget.
 type queueTest struct {
-	limit     QueueLimit
-	total     QueueBudget // at the beginning
-	budget    QueueBudget // what is left
-	queues    [3]Queue
-	lastTaken [3]int // of each queue, -1 at first
+	limit         QueueLimit
+	total         QueueBudget // initial budget
+	budget        QueueBudget // remaining budget
+	queues        [3]Queue
+	lastDelivered [3]int // number of the latest datagram of each queue, initially -1
 
 	put, delivered, dropped int
 }
 
-// Queues stay within their limits, keep the order, and deliver or drop every datagram once.
+// Queues stay within their limit and the shared budget, keep the order, and deliver or drop every
+// datagram exactly once.
 func TestQueueStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queueTest{lastTaken: [3]int{-1, -1, -1}}
+		q := queueTest{lastDelivered: [3]int{-1, -1, -1}}
 		q.limit.Count = rapid.IntRange(0, 4).Draw(t, "count")
 		q.limit.Bytes = rapid.IntRange(0, 40).Draw(t, "bytes")
 		q.total.Count = rapid.IntRange(0, 8).Draw(t, "all")
@@ -44,10 +45,10 @@
 func (q *queueTest) drain(t *rapid.T, index int) {
 	q.queues[index].Drain(&q.budget, func(datagram []byte) {
 		n := int(datagram[0])
-		if n <= q.lastTaken[index] {
-			t.Fatalf("%d after %d", n, q.lastTaken[index])
+		if n <= q.lastDelivered[index] {
+			t.Fatalf("datagram %d delivered after %d", n, q.lastDelivered[index])
 		}
-		q.lastTaken[index] = n
+		q.lastDelivered[index] = n
 		q.delivered++
 	})
 }
@@ -58,14 +59,14 @@
 		waiting += queue.Len()
 		bytes += queue.bytes
 		if queue.Len() > q.limit.Count || queue.bytes > q.limit.Bytes {
-			t.Fatalf("%d datagrams of %d bytes wait, allowed %+v", queue.Len(), queue.bytes, q.limit)
+			t.Fatalf("%d datagrams with %d bytes queued, limit %+v", queue.Len(), queue.bytes, q.limit)
 		}
 	}
 	if q.put != q.delivered+q.dropped+waiting {
-		t.Fatalf("%d put, %d delivered, %d dropped, %d wait", q.put, q.delivered, q.dropped, waiting)
+		t.Fatalf("%d datagrams put, %d delivered, %d dropped, %d queued", q.put, q.delivered, q.dropped, waiting)
 	}
 	if q.budget.Count != q.total.Count-waiting || q.budget.Bytes != q.total.Bytes-bytes {
-		t.Fatalf("budget %+v of %+v, %d datagrams of %d bytes wait", q.budget, q.total, waiting, bytes)
+		t.Fatalf("budget %+v of %+v, %d datagrams with %d bytes queued", q.budget, q.total, waiting, bytes)
 	}
 	if q.budget.Count < 0 || q.budget.Bytes < 0 {
 		t.Fatalf("budget %+v is overdrawn", q.budget)
--- a/internal/flowtable/sources.go
+++ b/internal/flowtable/sources.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// ipv6PrefixBytes is the part of an IPv6 address that identifies a source: its /64 network.
+// ipv6PrefixBytes is the length of the prefix that identifies an IPv6 source: its /64 network.
 const ipv6PrefixBytes = 8
 
-// SourceOptions limit how fast one source may open new flows.
+// SourceOptions configure the limit on the rate at which one source opens new flows.
 type SourceOptions struct {
-	Slots int     // how many token buckets there are; at least 2
-	Rate  float64 // new flows a second of each source; 0 for no limit
-	Burst float64 // new flows that may come at once
+	Slots int     // number of token buckets, at least 2
+	Rate  float64 // new flows per second of each source; 0 for no limit
+	Burst float64 // capacity of each token bucket, in flows
 	Seed  maphash.Seed
 }
 
-// Sources limits the rate of new flows with a fixed number of token buckets. A source is
-// an IPv4 address or an IPv6 prefix of 64 bits. Each source has two buckets, which it shares
-// with other sources of the same hash, and takes from the fuller one: a source is rejected
-// on account of others only if these have drained both of its buckets.
+// Sources limits the rate of new flows of each source with a fixed number of token buckets. A
+// source is an IPv4 address or an IPv6 prefix of 64 bits. Its hash selects two buckets, which it
+// may share with other sources, and it takes tokens from the fuller one: other sources cause the
+// rejection of its flows only if they have emptied both buckets.
 type Sources struct {
 	options SourceOptions
 	buckets []tokenBucket
 }
 
-// NewSources returns a limiter whose buckets are full.
+// NewSources returns a limiter with full buckets.
 func NewSources(options SourceOptions) *Sources {
 	s := &Sources{options: options, buckets: make([]tokenBucket, max(2, options.Slots))}
 	for i := range s.buckets {
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Allow reports whether the source of a key may open one more flow, and counts it if so.
+// Allow reports whether the source of a key may open a new flow, and takes a token if it may.
 func (s *Sources) Allow(key Key, now time.Duration) bool {
 	if s.options.Rate <= 0 {
 		return true
@@ -63,7 +63,7 @@
 	return bucket
 }
 
-// isMappedIPv4 reports whether the address is an IPv4 one, written as ::ffff:a.b.c.d.
+// isMappedIPv4 reports whether the address is an IPv4-mapped IPv6 address (::ffff:a.b.c.d).
 func isMappedIPv4(address [16]byte) bool {
 	return [12]byte(address[:12]) == [12]byte{10: 0xff, 11: 0xff}
 }
--- a/internal/flowtable/table.go
+++ b/internal/flowtable/table.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Key identifies a flow: the client's address as 16 bytes and port, and the number of the
-// listener that it sent to.
+// Key identifies a flow: the client's address, as 16 bytes, its port, and the number of the
+// listener that received the flow.
 type Key struct {
 	Addr     [16]byte
 	Port     uint16
 	Listener uint16
 }
 
-// Ref refers to a flow's entry in the table. It is valid until the flow is removed; the
-// entry's next flow has another generation.
+// Ref refers to a flow's entry in the table. It is valid until the flow is removed; the next flow
+// in the same entry has another generation.
 type Ref struct {
 	Index int32
 	Gen   uint32 // no flow has generation 0
 }
 
-// Verdict is the result of an admission.
+// Verdict is the result of Table.Admit.
 type Verdict uint8
 
 // The verdicts.
@@ -26,10 +26,10 @@
 	Full             // rejected by the policy
 )
 
-// noEntry ends lists of entries and marks empty positions of the index.
+// noEntry terminates lists of entries and marks empty positions in the index.
 const noEntry = int32(-1)
 
-// entry holds a flow. Entries refer to each other by their index in Table.entries.
+// entry holds the state of a flow. Entries refer to each other by their index in Table.entries.
 type entry struct {
 	key       Key
 	hash      uint32
@@ -40,24 +40,24 @@
 	firstSeen time.Duration
 	lastSeen  time.Duration
 
-	// Neighbours in the slot of the timer wheel.
+	// Links of the list of entries in the same slot of the timer wheel.
 	slot     int32
 	slotNext int32
 	slotPrev int32
 
-	// Neighbours in the list of unsettled flows. A free entry has its successor in the
-	// free list in unsettledNext.
+	// Links of the list of unsettled flows. In a free entry, unsettledNext is the next entry of
+	// the free list.
 	unsettledNext int32
 	unsettledPrev int32
 }
 
-// Table holds the known flows. One goroutine at a time may use it.
+// Table is a flow table of fixed size. It is not safe for concurrent use.
 type Table struct {
 	options   Options
 	entries   []entry
 	firstFree int32
 	used      int
-	now       time.Duration // never goes back
+	now       time.Duration // latest time of any call; never decreases
 
 	// The index: open addressing with linear probing.
 	index []int32
@@ -65,10 +65,10 @@
 
 	// The timer wheel.
 	wheel        [wheelSlots]int32 // first entry of each slot
-	tick         int64             // the last one whose slot was expired
+	tick         int64             // latest tick whose slot was expired
 	tickLength   time.Duration
-	expiringSlot int32 // the slot that Advance stopped in, noEntry if it was done
-	nextExpiring int32 // the next entry to look at in expiringSlot
+	expiringSlot int32 // slot in which Advance stopped; noEntry if it finished
+	nextExpiring int32 // next entry to examine in expiringSlot
 
 	// The list of unsettled flows.
 	oldestUnsettled int32
@@ -76,7 +76,7 @@
 	unsettled       int
 }
 
-// NewTable returns an empty table and allocates all its memory.
+// NewTable returns an empty table. It allocates all memory that the table will use.
 func NewTable(options Options) *Table {
 	indexSize := 2
 	for indexSize < 2*options.Entries {
@@ -105,10 +105,10 @@
 	return t
 }
 
-// Len returns how many flows are known and how many of them are unsettled.
+// Len returns the number of flows in the table and the number of them that are unsettled.
 func (t *Table) Len() (all, unsettled int) { return t.used, t.unsettled }
 
-// Lookup finds a flow.
+// Lookup returns the Ref of the flow with the given key, and false if the table has none.
 func (t *Table) Lookup(key Key) (Ref, bool) {
 	position, ok := t.find(key, t.hash(key))
 	if !ok {
@@ -119,7 +119,7 @@
 
 func (t *Table) ref(i int32) Ref { return Ref{i, t.entries[i].gen} }
 
-// IsValid reports whether the flow that r was returned for still has its entry.
+// IsValid reports whether the flow that r refers to is still in the table.
 func (t *Table) IsValid(r Ref) bool {
 	if r.Index < 0 || int(r.Index) >= len(t.entries) {
 		return false
@@ -128,13 +128,13 @@
 	return e.used && e.gen == r.Gen
 }
 
-// Key returns the key of the flow at a valid r.
+// Key returns the key of the flow that r refers to. r must be valid.
 func (t *Table) Key(r Ref) Key { return t.entries[r.Index].key }
 
-// IsSettled reports whether the flow at a valid r has settled.
+// IsSettled reports whether the flow that r refers to is settled. r must be valid.
 func (t *Table) IsSettled(r Ref) bool { return t.entries[r.Index].settled }
 
-// Touch records a datagram of the flow at a valid r.
+// Touch records a datagram of the flow that r refers to. r must be valid.
 func (t *Table) Touch(r Ref, now time.Duration) {
 	t.advanceClock(now)
 	e := &t.entries[r.Index]
@@ -149,8 +149,8 @@
 	}
 }
 
-// Admit adds a flow that Lookup did not find. If another flow has to be evicted for it,
-// evicted is called first, while the Ref of that flow is still valid; it may be nil.
+// Admit adds a flow whose key is not in the table. If another flow is evicted for it, Admit first
+// calls evicted, which may be nil, while the Ref of the evicted flow is still valid.
 func (t *Table) Admit(key Key, now time.Duration, evicted func(Ref)) (Ref, Verdict) {
 	t.advanceClock(now)
 	if !t.ensureFreeEntry(evicted) {
@@ -180,10 +180,10 @@
 	return t.ref(i), Admitted
 }
 
-// nextGeneration skips 0, which no flow has.
+// nextGeneration returns the generation that follows gen. It skips 0, which no flow may have.
 func nextGeneration(gen uint32) uint32 { return max(1, gen+1) }
 
-// Remove removes the flow at a valid r.
+// Remove removes the flow that r refers to. r must be valid.
 func (t *Table) Remove(r Ref) {
 	e := &t.entries[r.Index]
 	t.removeFromIndex(r.Index)
@@ -197,6 +197,6 @@
 	t.used--
 }
 
-// advanceClock takes the time of a call. A clock that was set back stands still until it
-// passes the latest time again.
+// advanceClock sets the table's time to now. If the caller's clock was set back, the table's time
+// stays unchanged until the clock passes it again.
 func (t *Table) advanceClock(now time.Duration) { t.now = max(t.now, now) }
--- a/internal/flowtable/table_test.go
+++ b/internal/flowtable/table_test.go
@@ -25,8 +25,8 @@
 	return Key{Addr: [16]byte{14: byte(n >> 8), 15: byte(n)}, Port: 7}
 }
 
-// The table does what a plain map does, whatever comes in whatever order. What it forgets
-// it forgets in time, and the Ref of a forgotten flow never becomes valid again.
+// The table matches a reference model for any sequence of operations. Idle flows expire in time,
+// and the Ref of a removed flow never becomes valid again.
 func TestTableMatchesModel(t *testing.T) {
 	for name, policy := range map[string]Policy{"reserve": Reserve, "refuse": RefuseNew, "idle": EvictIdle} {
 		t.Run(name, func(t *testing.T) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A flood of flows of one datagram leaves settled flows alone.
-func TestFloodLeavesSettledFlowsAlone(t *testing.T) {
+// A flood of single-datagram flows evicts no settled flow.
+func TestFloodDoesNotEvictSettledFlows(t *testing.T) {
 	table := NewTable(testOptions(1000, Reserve))
 	var settled []Ref
 	for i := range 400 {
@@ -69,7 +69,7 @@
 		}
 	}
 	if all, unsettled := table.Len(); unsettled != 500 || all != 900 {
-		t.Errorf("%d flows, %d unsettled", all, unsettled)
+		t.Errorf("Len() = %d flows, %d unsettled, want 900 and 500", all, unsettled)
 	}
 }
 
@@ -81,7 +81,7 @@
 			table := NewTable(options)
 			flows := entries / 100 * share
 			key := func(i int) Key {
-				i = i * 7919 % flows // not in order
+				i = i * 7919 % flows // in scattered order
 				return Key{Addr: [16]byte{12: byte(i >> 24), 13: byte(i >> 16), 14: byte(i >> 8), 15: byte(i)}}
 			}
 			for i := range flows {
--- a/internal/flowtable/tokenbucket.go
+++ b/internal/flowtable/tokenbucket.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// tokenBucket limits a rate. Whoever takes a token from it refills it first.
+// tokenBucket is a token bucket for rate limiting. Call refill before taking a token.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// refill adds the tokens since the last refill, up to burst. A clock that was set back adds none.
+// refill adds the tokens that accrued since the last refill, up to burst. It adds none if the
+// clock was set back.
 func (b *tokenBucket) refill(now time.Duration, rate, burst float64) {
 	if now <= b.refilledAt {
 		return
--- a/internal/flowtable/unsettled.go
+++ b/internal/flowtable/unsettled.go
@@ -1,6 +1,6 @@
 package flowtable
 
-// appendUnsettled makes an entry the newest of the unsettled flows.
+// appendUnsettled appends an entry to the list of unsettled flows as the newest one.
 func (t *Table) appendUnsettled(i int32) {
 	e := &t.entries[i]
 	e.unsettledPrev, e.unsettledNext = t.newestUnsettled, noEntry
@@ -13,7 +13,7 @@
 	t.unsettled++
 }
 
-// removeUnsettled takes an entry out of the list of unsettled flows.
+// removeUnsettled removes an entry from the list of unsettled flows.
 func (t *Table) removeUnsettled(i int32) {
 	e := &t.entries[i]
 	if e.unsettledPrev != noEntry {
