--- a/internal/flowtable/model_test.go
+++ b/internal/flowtable/model_test.go
@@ -200,7 +200,8 @@
 	wantUnsettled, _ := m.unsettled()
 	all, unsettled := m.table.Len()
 	if all != len(m.flows) || unsettled != wantUnsettled || all > m.options.Entries {
-		t.Fatalf("Len() = %d flows, %d unsettled, want %d and %d", all, unsettled, len(m.flows), wantUnsettled)
+		t.Fatalf("Len() = %d flows, %d unsettled, want %d and %d",
+			all, unsettled, len(m.flows), wantUnsettled)
 	}
 }
 
--- a/internal/flowtable/queue_test.go
+++ b/internal/flowtable/queue_test.go
@@ -63,7 +63,8 @@
 		}
 	}
 	if q.put != q.delivered+q.dropped+waiting {
-		t.Fatalf("%d datagrams put, %d delivered, %d dropped, %d queued", q.put, q.delivered, q.dropped, waiting)
+		t.Fatalf("%d datagrams put, %d delivered, %d dropped, %d queued",
+			q.put, q.delivered, q.dropped, waiting)
 	}
 	if q.budget.Count != q.total.Count-waiting || q.budget.Bytes != q.total.Bytes-bytes {
 		t.Fatalf("budget %+v of %+v, %d datagrams with %d bytes queued", q.budget, q.total, waiting, bytes)
--- a/internal/flowtable/table_test.go
+++ b/internal/flowtable/table_test.go
@@ -82,7 +82,9 @@
 			flows := entries / 100 * share
 			key := func(i int) Key {
 				i = i * 7919 % flows // in scattered order
-				return Key{Addr: [16]byte{12: byte(i >> 24), 13: byte(i >> 16), 14: byte(i >> 8), 15: byte(i)}}
+				return Key{
+					Addr: [16]byte{12: byte(i >> 24), 13: byte(i >> 16), 14: byte(i >> 8), 15: byte(i)},
+				}
 			}
 			for i := range flows {
 				table.Admit(key(i), 0, nil)
--- a/internal/udp/doc.go
+++ b/internal/udp/doc.go
@@ -1,31 +1,33 @@
-// Package udp forwards datagrams of clients to upstream endpoints. All datagrams of a flow
-// (one client address and port) go to the endpoint that the dispatcher chose for it, until
-// the flow expires or is placed again. Decisions about flows (which have a table entry, which
-// expire or are evicted, how many datagrams wait, which endpoint is silent) are those of
-// package flowtable; this package has the sockets.
+// Package udp forwards datagrams from clients to upstream endpoints. All datagrams of a flow (one
+// client address and port) go to the endpoint that the dispatcher chose for the flow, until the
+// flow expires or is placed again. Package flowtable decides on flows: which have a table entry,
+// which expire or are evicted, how many datagrams wait, and which endpoint is silent. This package
+// does the I/O.
 //
 // # Goroutines
 //
 // Listeners.Serve runs each Listener.Serve in a goroutine and returns when all have ended. A
 // Listener runs:
 //
-//   - its reader, in the goroutine of Serve: takes datagrams in batches, until the context
-//     ends and with it the socket is closed;
-//   - runOutbox: calls the dispatcher, until Serve has ended all else and the outbox is empty;
-//   - maintain: expires flows and places those that wait, until the context ends;
-//   - one for the replies of each upstream socket and one for each echo socket, until Serve,
-//     the last flow or the health check closes that socket;
-//   - one for each StartAttempt, which ends by itself.
+//   - readDatagrams, in the goroutine of Serve: reads batches of datagrams until the context ends,
+//     which closes the socket;
+//   - runOutbox: calls the dispatcher until all other goroutines have ended and the outbox is
+//     empty;
+//   - maintain: expires flows and places waiting flows until the context ends;
+//   - one goroutine for the replies of each upstream socket and one for each echo socket: runs
+//     until Serve, the end of the last flow or the health check closes the socket;
+//   - one goroutine for each StartAttempt, which ends with the attempt's report.
 //
-// All state of a Listener is under its mutex. The package allocates nothing for a client's
-// datagram whose flow has an upstream socket, but for its PROXY header if the flow doesn't
-// share that socket.
+// The mutex of a Listener protects all of its state. A datagram from a client whose flow has an
+// upstream socket causes no allocation, except for the PROXY header if the flow does not share
+// the socket.
 //
 // # Errors
 //
-// Open returns the error of the address or of its sockets. Later errors end nothing but the
-// flow or datagram concerned: they are counted (Counts) and, where an operator can act, logged.
+// Open returns an error if the address is invalid or a socket can't be opened. A later error
+// affects only the flow or datagram concerned. It is counted in Counts, and logged if an operator
+// can act on it.
 package udp
 
-// component is this package in log lines.
+// component is the value of the attribute "component" in this package's log lines.
 const component = "udp"
--- a/internal/udp/expiredlist_test.go
+++ b/internal/udp/expiredlist_test.go
@@ -2,24 +2,27 @@
 
 import "testing"
 
-// While the list may not be relied on no flow begins, and those that stand go on.
-func TestExpiredListBeginsNoFlow(t *testing.T) {
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+// While the lease of the endpoint list is expired, new flows are rejected and established flows
+// continue.
+func TestExpiredListRejectsNewFlows(t *testing.T) {
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, dispatcher, endpoints := startListener(t, mode)
-		standing := dial(t, listener)
-		standing.send("1")
-		standing.expect("a:1")
+		established := dial(t, listener)
+		established.send("1")
+		established.expect("a:1")
 		endpoints.listExpired.Store(true)
-		late := dial(t, listener)
-		late.send("2")
-		eventually(t, "the new flow is refused", func() bool { return len(dispatcher.submissions()) == 2 && listener.Counts.Refused.Load() == 1 })
-		standing.send("3")
-		standing.expect("a:3")
+		newClient := dial(t, listener)
+		newClient.send("2")
+		eventually(t, "the new flow is rejected", func() bool {
+			return len(dispatcher.submissions()) == 2 && listener.Counts.Refused.Load() == 1
+		})
+		established.send("3")
+		established.expect("a:3")
 		if endpoints.count("a") != 2 {
-			t.Errorf("a got %d datagrams, want those of the flow that stood", endpoints.count("a"))
+			t.Errorf("a got %d datagrams, want 2, those of the established flow", endpoints.count("a"))
 		}
 		endpoints.listExpired.Store(false)
-		late.send("4")
-		late.expect("a:4")
+		newClient.send("4")
+		newClient.expect("a:4")
 	})
 }
--- a/internal/udp/fakes_test.go
+++ b/internal/udp/fakes_test.go
@@ -12,13 +12,12 @@
 	"coralrelay/internal/dispatch"
 )
 
-// fakeDispatcher places each flow at the endpoint that placeAt names, or rejects it, or
-// keeps it waiting.
+// fakeDispatcher places each flow at the endpoint set by placeAt, rejects it or leaves it waiting.
 type fakeDispatcher struct {
 	mu          sync.Mutex
-	endpointID  string // empty: flows wait
+	endpointID  string // empty to leave flows waiting
 	reject      bool
-	retryAt     string // where an attempt that has failed is retried; empty for nowhere
+	retryAt     string // endpoint for the retry of a failed attempt; empty for no retry
 	submitted   []dispatch.Placement
 	established map[dispatch.Placement]string
 	ended       []balance.Outcome
@@ -59,7 +58,8 @@
 }
 
 func (d *fakeDispatcher) AttemptEnded(
-	placement dispatch.Placement, attempt int, _ string, _ balance.Outcome, _ time.Duration, _ balance.LoadReport,
+	placement dispatch.Placement, attempt int, _ string,
+	_ balance.Outcome, _ time.Duration, _ balance.LoadReport,
 ) {
 	d.mu.Lock()
 	retryAt := d.retryAt
@@ -71,7 +71,7 @@
 	}
 }
 
-// placeAt has flows placed at an endpoint from now on, or wait if it is empty.
+// placeAt sets the endpoint for new placements. If it is empty, flows wait.
 func (d *fakeDispatcher) placeAt(endpointID string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,16 +90,16 @@
 	return d.ended
 }
 
-// fakeEndpoints are endpoints that answer each datagram with their name and the datagram.
+// fakeEndpoints are endpoints that answer each datagram with their name, a colon and the datagram.
 type fakeEndpoints struct {
-	listExpired  atomic.Bool // the list that names them may not be relied on
+	listExpired  atomic.Bool // the lease of the endpoint list is expired
 	mu           sync.Mutex
 	addresses    map[string]string
 	conns        map[string]*net.UDPConn
 	draining     map[string]bool
-	unresponsive map[string]bool     // answers no probes
-	hung         map[string]bool     // answers no datagrams
-	received     map[string][]string // the beginning of each datagram
+	unresponsive map[string]bool     // endpoints that answer no probes
+	hung         map[string]bool     // endpoints that answer no datagrams
+	received     map[string][]string // first receivedPrefixLen bytes of each datagram
 }
 
 func newFakeEndpoints(t testing.TB, names ...string) *fakeEndpoints {
@@ -157,7 +157,7 @@
 	return e.hung[name]
 }
 
-// receivedPrefixLen is how much of each datagram fakeEndpoints keep.
+// receivedPrefixLen is the number of bytes of each datagram that fakeEndpoints keep.
 const receivedPrefixLen = 20
 
 func (e *fakeEndpoints) Address(endpointID string) string {
@@ -186,14 +186,14 @@
 	return !e.unresponsive[endpointID]
 }
 
-// setDraining has just the named endpoint drain.
+// setDraining makes the given endpoint the only one that drains.
 func (e *fakeEndpoints) setDraining(endpointID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = map[string]bool{endpointID: true}
 }
 
-// count is how many datagrams an endpoint has received.
+// count returns the number of datagrams that an endpoint has received.
 func (e *fakeEndpoints) count(endpointID string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/udp/forward_test.go
+++ b/internal/udp/forward_test.go
@@ -11,10 +11,10 @@
 	"coralrelay/internal/flowtable"
 )
 
-// Datagrams of a flow go to its endpoint in order, whatever their size, and replies to its
-// own client.
-func TestForwardsInOrderAndRepliesToItsClient(t *testing.T) {
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+// Datagrams of any size reach the flow's endpoint in order, and replies reach the client of the
+// flow.
+func TestForwardsInOrderAndRepliesToSender(t *testing.T) {
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, _, endpoints := startListener(t, mode)
 		one, two := dial(t, listener), dial(t, listener)
 		for _, suffix := range []string{"1", "", "3"} {
@@ -26,18 +26,19 @@
 		one.send("")
 		one.expect("a:")
 		two.send(string(bytes.Repeat([]byte("x"), 60_000)))
-		eventually(t, "the large one arrives", func() bool { return endpoints.count("a") == 8 })
+		eventually(t, "the large datagram arrives", func() bool { return endpoints.count("a") == 8 })
 		counts := &listener.Counts
 		in, forwarded, opened := counts.In.Load(), counts.Forwarded.Load(), counts.Opened.Load()
 		if in != 8 || forwarded != 8 || opened != 2 {
-			t.Errorf("%d in, %d forwarded, %d flows", in, forwarded, opened)
+			t.Errorf("%d datagrams in, %d forwarded, %d flows opened, want 8, 8 and 2", in, forwarded, opened)
 		}
 	})
 }
 
-// Nothing reaches an endpoint that drains: the flow goes on at another, in mid-flow.
-func TestDrainingEndpointGetsNothingMore(t *testing.T) {
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+// A draining endpoint receives no more datagrams: an established flow continues at another
+// endpoint.
+func TestDrainingEndpointReceivesNothing(t *testing.T) {
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, dispatcher, endpoints := startListener(t, mode)
 		client := dial(t, listener)
 		client.send("1")
@@ -50,21 +51,21 @@
 
 		endpoints.setDraining("b")
 		dispatcher.placeAt("a")
-		listener.EndpointsChanged() // the flow loses its endpoint before it sends
+		listener.EndpointsChanged() // ends the placement before the client sends
 		eventually(t, "the placement ends", func() bool { return len(dispatcher.outcomes()) == 2 })
 		client.send("3")
 		client.expect("a:3")
 		if endpoints.count("a") != 2 || endpoints.count("b") != 1 {
-			t.Errorf("a got %d, b %d", endpoints.count("a"), endpoints.count("b"))
+			t.Errorf("a got %d datagrams, b %d, want 2 and 1", endpoints.count("a"), endpoints.count("b"))
 		}
 	})
 }
 
-// A closed port of an endpoint refuses datagrams: the dispatcher is told of a reset, and the
-// flow is placed again.
+// If an endpoint's port is closed, its datagrams are refused: the placement ends with the outcome
+// Reset, and the flow is placed again.
 func TestRefusedFlowIsPlacedAgain(t *testing.T) {
-	const maxLost = 200 // datagrams, before the refusal is seen
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+	const maxLost = 200 // datagrams that may be lost before the refusal is detected
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, dispatcher, endpoints := startListener(t, mode)
 		client := dial(t, listener)
 		client.send("1")
@@ -77,18 +78,18 @@
 				return true
 			}
 			if lost++; lost > maxLost {
-				t.Fatal("never placed again")
+				t.Fatal("the flow was not placed again")
 			}
 			return false
 		})
 		if ended := dispatcher.outcomes(); len(ended) != 1 || ended[0] != balance.Reset {
-			t.Errorf("the dispatcher was told %v", ended)
+			t.Errorf("the placements ended with %v, want one Reset", ended)
 		}
 	})
 }
 
-// The first datagrams wait for the placement, the oldest is dropped for a new one, and those
-// of a rejected flow are dropped. The counts add up.
+// Datagrams wait for the flow's placement. A full queue drops the oldest datagram for a new one,
+// and a rejected flow drops its datagrams. The counts stay consistent.
 func TestQueueDropsOldestWhileWaiting(t *testing.T) {
 	listener, dispatcher, _ := startListener(t, nil)
 	dispatcher.placeAt("")
@@ -96,12 +97,12 @@
 	for _, datagram := range []string{"1", "2", "3", "4", "5"} {
 		client.send(datagram)
 	}
-	eventually(t, "all came and the placement is requested", func() bool {
+	eventually(t, "all datagrams arrive and the placement is requested", func() bool {
 		return listener.Counts.In.Load() == 5 && len(dispatcher.submissions()) > 0
 	})
 	submitted := dispatcher.submissions()
 	if dropped := listener.Counts.Queue.Load(); len(submitted) != 1 || dropped != 2 {
-		t.Fatalf("%d placements requested, %d dropped", len(submitted), dropped)
+		t.Fatalf("%d placements requested, %d datagrams dropped, want 1 and 2", len(submitted), dropped)
 	}
 	listener.StartAttempt(submitted[0], 0, "a", time.Now().Add(time.Second))
 	for _, datagram := range []string{"3", "4", "5"} {
@@ -112,20 +113,20 @@
 	dispatcher.reject = true
 	dispatcher.mu.Unlock()
 	dial(t, listener).send("1")
-	eventually(t, "it is rejected", func() bool { return listener.Counts.Refused.Load() == 1 })
+	eventually(t, "the flow is rejected", func() bool { return listener.Counts.Refused.Load() == 1 })
 	checkBalance(t, &listener.Counts)
 	if known, bound := listener.Len(); known != 1 || bound != 1 {
-		t.Errorf("%d flows known, %d with a socket", known, bound)
+		t.Errorf("%d flows known, %d with a socket, want 1 and 1", known, bound)
 	}
 }
 
-// An endpoint drains while thousands of flows wait for their placement, half of which were
-// placed there: nothing reaches it, and nothing is lost. A client whose port has changed is
-// another flow.
+// An endpoint drains while thousands of flows wait for their placement, and half of them are then
+// placed there: no datagram reaches the endpoint and none is lost. A client with a new port opens
+// a new flow.
 func TestDrainWhileMostFlowsWait(t *testing.T) {
 	const (
 		flows     = 2000
-		burstSize = 100 // the sockets' buffers hold some 200 datagrams
+		burstSize = 100 // the sockets' buffers hold about 200 datagrams
 	)
 	manyFlows := func(options *Options) {
 		options.Table.Entries = 2 * flows
@@ -134,7 +135,7 @@
 		options.NewFlows.Burst = 2 * flows
 		options.Deadline = time.Minute
 	}
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, dispatcher, endpoints := startListener(t, mode.and(manyFlows))
 		dispatcher.placeAt("")
 		clients := make([]testClient, flows)
@@ -142,10 +143,14 @@
 			clients[i] = dial(t, listener)
 			clients[i].send(fmt.Sprint(i))
 			if sent := i + 1; sent%burstSize == 0 {
-				eventually(t, "they wait", func() bool { return listener.Counts.In.Load() == int64(sent) })
+				eventually(t, "the datagrams are read", func() bool {
+					return listener.Counts.In.Load() == int64(sent)
+				})
 			}
 		}
-		eventually(t, "all placements are requested", func() bool { return len(dispatcher.submissions()) == flows })
+		eventually(t, "all placements are requested", func() bool {
+			return len(dispatcher.submissions()) == flows
+		})
 
 		dispatcher.mu.Lock()
 		dispatcher.endpointID, dispatcher.retryAt = "b", "b"
@@ -154,7 +159,9 @@
 		listener.EndpointsChanged()
 		establishAlternately(t, listener, dispatcher.submissions(), func(established int) {
 			if established%burstSize == 0 {
-				eventually(t, "they arrive", func() bool { return endpoints.count("b") == established })
+				eventually(t, "the datagrams arrive", func() bool {
+					return endpoints.count("b") == established
+				})
 			}
 		})
 		for i, client := range clients {
@@ -166,13 +173,17 @@
 		rebound.expect("b:1")
 		opened, dropped := listener.Counts.Opened.Load(), listener.Counts.Dropped()
 		if n := endpoints.count("a"); n != 0 || opened != flows+1 || dropped != 0 {
-			t.Errorf("%d reached the draining endpoint, %d flows, %d dropped", n, opened, dropped)
+			t.Errorf("%d datagrams reached the draining endpoint, %d flows opened, %d dropped",
+				n, opened, dropped)
 		}
 	})
 }
 
-// establishAlternately starts attempts at a and b by turns.
-func establishAlternately(t *testing.T, listener *Listener, placements []dispatch.Placement, started func(int)) {
+// establishAlternately starts attempts at a and b alternately, and calls started with the number of
+// attempts after each one.
+func establishAlternately(
+	t *testing.T, listener *Listener, placements []dispatch.Placement, started func(int),
+) {
 	t.Helper()
 	for i, placement := range placements {
 		endpointID := []string{"a", "b"}[i%2]
@@ -181,22 +192,22 @@
 	}
 }
 
-// Idle flows are forgotten and their sockets closed. The same client opens a new flow then.
+// An idle flow expires and its socket is closed. The client's next datagram opens a new flow.
 func TestIdleFlowExpiresWithItsSocket(t *testing.T) {
 	shortTimeout := func(options *Options) { options.Table.IdleTimeout = 64 * time.Millisecond }
-	inEachSocketMode(t, func(t *testing.T, mode configure) {
+	forEachSocketMode(t, func(t *testing.T, mode configure) {
 		listener, _, endpoints := startListener(t, mode.and(shortTimeout))
 		client := dial(t, listener)
 		client.send("1")
 		client.expect("a:1")
-		eventually(t, "it expires", func() bool {
+		eventually(t, "the flow expires", func() bool {
 			known, bound := listener.Len()
 			return known == 0 && bound == 0
 		})
 		client.send("2")
 		client.expect("a:2")
 		if opened := listener.Counts.Opened.Load(); opened != 2 || endpoints.count("a") != 2 {
-			t.Errorf("%d flows, %d datagrams arrived", opened, endpoints.count("a"))
+			t.Errorf("%d flows opened, %d datagrams arrived, want 2 and 2", opened, endpoints.count("a"))
 		}
 	})
 }
--- a/internal/udp/harness_test.go
+++ b/internal/udp/harness_test.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// testTimeout is how long a test waits for what does not come.
+	// testTimeout is the time after which a test fails if an expected event has not occurred.
 	testTimeout = 10 * time.Second
-	// retryInterval is how long a client waits for an answer before it sends again.
+	// retryInterval is the time that a client waits for an answer before it sends again.
 	retryInterval = 20 * time.Millisecond
 )
 
-// configure changes the options of a test; it may be nil.
+// configure modifies the options of a test's listeners. It may be nil.
 type configure func(*Options)
 
+// and returns a configure that applies c and then more.
 func (c configure) and(more configure) configure {
 	return func(options *Options) {
 		if c != nil {
@@ -29,14 +30,14 @@
 	}
 }
 
-// withSharedSockets has flows share sockets; replies need the header then.
+// withSharedSockets enables shared sockets, and the PROXY header that replies then need.
 var withSharedSockets configure = func(options *Options) {
 	options.SharedSockets = true
 	options.ProxyHeader = true
 }
 
-// inEachSocketMode runs a test with a socket for each flow, and with shared sockets.
-func inEachSocketMode(t *testing.T, test func(t *testing.T, mode configure)) {
+// forEachSocketMode runs a test with one socket per flow, and with shared sockets.
+func forEachSocketMode(t *testing.T, test func(t *testing.T, mode configure)) {
 	t.Helper()
 	for name, mode := range map[string]configure{"a socket each": nil, "shared": withSharedSockets} {
 		t.Run(name, func(t *testing.T) { test(t, mode) })
@@ -57,14 +58,15 @@
 	}
 }
 
-// startListener serves one listener with the endpoints a and b. Flows are placed at a.
+// startListener starts one listener with the endpoints a and b. Flows are placed at a.
 func startListener(t testing.TB, change configure) (*Listener, *fakeDispatcher, *fakeEndpoints) {
 	t.Helper()
 	listeners, dispatcher, endpoints := startListeners(t, 1, change)
 	return listeners[0], dispatcher, endpoints
 }
 
-// startListeners is startListener for several at one address.
+// startListeners starts several listeners at one address, like startListener. They end with the
+// test, which then checks that no flow has a socket left.
 func startListeners(t testing.TB, count int, change configure) (Listeners, *fakeDispatcher, *fakeEndpoints) {
 	t.Helper()
 	options := testOptions()
@@ -95,7 +97,7 @@
 	return listeners, dispatcher, endpoints
 }
 
-// refOfClient is a client's flow, or the zero value if it is not known.
+// refOfClient returns the Ref of a client's flow, or the zero value if the table has none.
 func (l *Listener) refOfClient(client netip.AddrPort) flowtable.Ref {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +105,7 @@
 	return ref
 }
 
-// sharedSocketAddresses are the local addresses of shared sockets, by endpoint.
+// sharedSocketAddresses returns the local addresses of the shared sockets, by endpoint.
 func (l *Listener) sharedSocketAddresses() map[string]netip.AddrPort {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,7 +116,7 @@
 	return addresses
 }
 
-// testClient is a client with a socket, and so a flow, of its own.
+// testClient is a client with its own socket, and therefore its own flow.
 type testClient struct {
 	t *testing.T
 	*net.UDPConn
@@ -151,8 +153,8 @@
 	}
 }
 
-// sendUntil sends a datagram again and again until done is true of the answer, which is
-// empty if none came within retryInterval.
+// sendUntil sends a datagram repeatedly until done returns true for the answer. The answer is empty
+// if none arrived within retryInterval.
 func (c testClient) sendUntil(datagram string, done func(answer string) bool) {
 	c.t.Helper()
 	buffer := make([]byte, 100)
@@ -167,23 +169,24 @@
 			return
 		}
 	}
-	c.t.Fatalf("%q was sent in vain", datagram)
+	c.t.Fatalf("no expected answer to %q", datagram)
 }
 
+// eventually fails the test if isTrue does not return true within testTimeout.
 func eventually(t *testing.T, what string, isTrue func() bool) {
 	t.Helper()
 	for startedAt := time.Now(); !isTrue(); time.Sleep(time.Millisecond) {
 		if time.Since(startedAt) > testTimeout {
-			t.Fatal("never: " + what)
+			t.Fatal("condition not reached: " + what)
 		}
 	}
 }
 
-// checkBalance checks that each datagram went on or was dropped, if none waits.
+// checkBalance checks that each datagram was forwarded or dropped. No datagram may be waiting.
 func checkBalance(t *testing.T, counts *Counts) {
 	t.Helper()
 	in, out := counts.In.Load(), counts.Forwarded.Load()+counts.Dropped()
 	if in != out {
-		t.Errorf("%d in, %d forwarded or dropped", in, out)
+		t.Errorf("%d datagrams in, %d forwarded or dropped", in, out)
 	}
 }
--- a/internal/udp/health.go
+++ b/internal/udp/health.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// silenceCheckInterval is how often silent endpoints are looked for.
+	// silenceCheckInterval is the time between checks for silent endpoints.
 	silenceCheckInterval = 250 * time.Millisecond
-	// echoInterval is how often an endpoint is sent an echo.
+	// echoInterval is the time between echo requests to an endpoint.
 	echoInterval = time.Second
 )
 
-// endpointHealth is what the listener knows of an endpoint's liveness, under its lock.
+// endpointHealth is the liveness state of one endpoint. The listener's mutex protects it.
 type endpointHealth struct {
 	endpointID string
 	boundFlows int
 	evidence   flowtable.LivenessEvidence
 
-	echoConn     *net.UDPConn // nil where the endpoint's probes are used
+	echoConn     *net.UDPConn // nil if the results of probes are used
 	echoSent     bool
-	echoAnswered bool // since the last one was sent
+	echoAnswered bool // since the latest echo request was sent
 	nextEchoAt   time.Time
 }
 
-// endpointHealth returns the health of an endpoint, and opens the socket for its echoes. It is
-// kept while the endpoint is listed: its answered share counts when it has flows again.
+// endpointHealth returns the health of an endpoint and opens its echo socket if echoes are
+// configured. The health is kept while the endpoint is listed, so that its answered share still
+// applies when the endpoint has flows again.
 func (l *Listener) endpointHealth(endpointID string, address netip.AddrPort) *endpointHealth {
 	h := l.health[endpointID]
 	if h == nil {
@@ -43,7 +44,8 @@
 	}
 	conn, err := l.sourcePorts.dial(address)
 	if err != nil {
-		l.warnings.Warn("cannot open echo socket", "component", component, "endpoint", endpointID, "error", err)
+		l.warnings.Warn("cannot open echo socket",
+			"component", component, "endpoint", endpointID, "error", err)
 		return h
 	}
 	h.echoConn = conn
@@ -51,7 +53,7 @@
 	return h
 }
 
-// close closes the socket for echoes, if there is one.
+// close closes the echo socket if it is open.
 func (h *endpointHealth) close() {
 	if h.echoConn != nil {
 		_ = h.echoConn.Close()
@@ -59,7 +61,7 @@
 	}
 }
 
-// readEchoes records the answers to echoes, whatever they contain, until the socket is closed.
+// readEchoes records answers to echo requests until the socket is closed. It accepts any content.
 func (l *Listener) readEchoes(h *endpointHealth, conn *net.UDPConn) {
 	buffer := make([]byte, typicalDatagramSize)
 	for {
@@ -77,8 +79,8 @@
 	}
 }
 
-// replaceSilent replaces the flows of endpoints that have fallen silent. They are placed again
-// with their next datagrams, at the rate of Options.ReplacedFlows.
+// replaceSilent ends the placements of all flows at silent endpoints. Each flow is placed again
+// with its next datagram, at the rate of Options.ReplacedFlows.
 func (l *Listener) replaceSilent(now time.Time) {
 	if l.options.Silence.After <= 0 || now.Before(l.silenceCheckAt) {
 		return
@@ -86,7 +88,7 @@
 	l.silenceCheckAt = now.Add(silenceCheckInterval)
 	elapsed := now.Sub(l.start)
 	for _, h := range l.health {
-		if h.boundFlows == 0 { // no echoes without flows
+		if h.boundFlows == 0 { // send no echo requests to an endpoint without flows
 			h.close()
 			h.echoSent = false
 			continue
@@ -103,15 +105,15 @@
 	}
 }
 
-// probe records the latest result of an endpoint's probes or echoes, and sends the next echo
-// when it is due.
+// probe records the latest result of an endpoint's probes or echo requests, and sends the next
+// echo request when it is due.
 func (l *Listener) probe(h *endpointHealth, now time.Time) {
 	elapsed := now.Sub(l.start)
 	if h.echoConn == nil {
 		h.evidence.ProbeAnswered(elapsed, l.endpoints.IsResponsive(h.endpointID))
 		return
 	}
-	if now.Before(h.nextEchoAt) { // there is still time for an answer
+	if now.Before(h.nextEchoAt) { // the answer to the latest request may still arrive
 		if h.echoAnswered {
 			h.evidence.ProbeAnswered(elapsed, true)
 		}
@@ -122,5 +124,5 @@
 	}
 	h.echoSent, h.echoAnswered = true, false
 	h.nextEchoAt = now.Add(echoInterval)
-	_, _ = h.echoConn.Write([]byte(l.options.Echo)) // a refusal shows at the flows' sockets
+	_, _ = h.echoConn.Write([]byte(l.options.Echo)) // the flows' sockets report a refusal
 }
--- a/internal/udp/health_test.go
+++ b/internal/udp/health_test.go
@@ -8,9 +8,9 @@
 	"coralrelay/internal/flowtable"
 )
 
-// An endpoint that falls silent loses its flows to another: one that used to answer, though
-// its probes are answered; one whose probes fail, though it never answered; one that does
-// not answer echoes.
+// The flows of a silent endpoint are placed elsewhere. An endpoint is silent if it stops answering
+// its flows although its probes succeed, if its probes fail, or if it stops answering echo
+// requests.
 func TestSilentEndpointLosesItsFlows(t *testing.T) {
 	type testCase struct {
 		echo         string
@@ -31,7 +31,7 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			inEachSocketMode(t, func(t *testing.T, mode configure) {
+			forEachSocketMode(t, func(t *testing.T, mode configure) {
 				t.Parallel()
 				listener, dispatcher, endpoints := startListener(t, mode.and(options))
 				client := dial(t, listener)
@@ -46,7 +46,8 @@
 				client.sendUntil("2", func(string) bool { return endpoints.count("b") > 0 })
 				ended, silent := dispatcher.outcomes(), listener.Counts.Silent.Load()
 				if len(ended) != 1 || ended[0] != balance.Reset || silent != 1 {
-					t.Errorf("the dispatcher was told %v, %d flows lost to silence", ended, silent)
+					t.Errorf("the placements ended with %v, %d flows counted as silent, want one Reset and 1",
+						ended, silent)
 				}
 			})
 		})
--- a/internal/udp/listener.go
+++ b/internal/udp/listener.go
@@ -17,69 +17,69 @@
 )
 
 const (
-	// batchSize is how many datagrams are read or written at once.
+	// batchSize is the maximum number of datagrams per read or write.
 	batchSize = 64
 	// maxDatagramSize is the largest payload of a datagram over IPv4, in bytes.
 	maxDatagramSize = 65507
-	// typicalDatagramSize is the size of buffers for replies, in bytes. They grow to
-	// maxDatagramSize with the first larger reply, which is lost.
+	// typicalDatagramSize is the initial size of buffers for replies, in bytes. A buffer grows to
+	// maxDatagramSize after its first larger reply, which is dropped.
 	typicalDatagramSize = 2048
-	// maintenanceInterval is how often flows are expired and placed.
+	// maintenanceInterval is the time between runs of expiry and placement.
 	maintenanceInterval = 20 * time.Millisecond
-	// maxExpiredPerStep is how many flows are looked at for expiry each time.
+	// maxExpiredPerStep is the maximum number of flows examined for expiry per run.
 	maxExpiredPerStep = 4096
 )
 
-// Listener forwards the datagrams of one socket.
+// Listener forwards the datagrams that arrive at one socket.
 type Listener struct {
 	options    Options
 	dispatcher Dispatcher
 	endpoints  Endpoints
 	conn       *net.UDPConn
-	packets    *ipv4.PacketConn // conn, for batches
+	packets    *ipv4.PacketConn // batch I/O on conn
 	addr       netip.AddrPort   // the local address of conn
-	idPrefix   string           // of its placements' IDs
-	start      time.Time        // flowtable's times count from here
+	idPrefix   string           // prefix of placement IDs
+	start      time.Time        // origin of the times passed to flowtable
 	warnings   logging.Throttled
 
-	// Counts are read at any time.
+	// Counts may be read at any time, without the mutex.
 	Counts Counts
 
-	wg          sync.WaitGroup // of its goroutines, but for those that Serve waits for itself
-	outboxReady chan struct{}  // holds one value while the outbox is not empty
+	wg          sync.WaitGroup // all goroutines except runOutbox, which Serve waits for separately
+	outboxReady chan struct{}  // holds a value after calls have been added to outbox
 
-	mu     sync.Mutex // for all that follows
+	mu     sync.Mutex // protects all fields below
 	closed bool
-	outbox []func() // calls of the dispatcher, in order
+	outbox []func() // pending calls of the dispatcher, in order
 
 	table         *flowtable.Table
-	bindings      []binding // of the flow in the table's entry of the same index
+	bindings      []binding // by index of the flow's entry in table
 	boundFlows    int       // flows that have an upstream socket
 	sources       *flowtable.Sources
 	queueBudget   flowtable.QueueBudget
 	newFlows      flowtable.Pacer // new flows that wait for a placement
-	replacedFlows flowtable.Pacer // flows that wait for another placement; they go first
-	lastID        uint64          // of placements
+	replacedFlows flowtable.Pacer // flows that wait to be placed again; served before newFlows
+	lastID        uint64          // latest number used in a placement ID
 
-	openSockets   int // upstream sockets, without those for echoes
+	openSockets   int // upstream sockets, excluding echo sockets
 	sourcePorts   sourcePorts
 	sharedSockets map[string]*upstreamSocket // by endpoint
-	unflushed     []*upstreamSocket          // shared ones with pending datagrams
-	batchTime     time.Duration              // when the batch under way was read
+	unflushed     []*upstreamSocket          // shared sockets with pending datagrams
+	batchTime     time.Duration              // when the current batch was read
 
-	health         map[string]*endpointHealth // by endpoint: those that have or had flows
-	silenceCheckAt time.Time                  // when silent endpoints are next looked for
+	health         map[string]*endpointHealth // by endpoint; endpoints that have or had flows
+	silenceCheckAt time.Time                  // time of the next check for silent endpoints
 }
 
 // binding is a flow's client and placement.
 type binding struct {
 	client          netip.AddrPort
 	queue           flowtable.Queue // datagrams that wait for the placement
-	placement       *placement      // requested or established, nil if there is none
-	awaitsPlacement bool            // it is in newFlows or replacedFlows
+	placement       *placement      // requested or established; nil if there is none
+	awaitsPlacement bool            // the flow is queued in newFlows or replacedFlows
 }
 
-// newListener returns a listener that nothing happens with until Serve is called.
+// newListener returns a listener, which does nothing until Serve is called.
 func newListener(options Options, conn *net.UDPConn, dispatcher Dispatcher, endpoints Endpoints) *Listener {
 	if options.Table.Seed == (maphash.Seed{}) {
 		options.Table.Seed, options.Sources.Seed = maphash.MakeSeed(), maphash.MakeSeed()
@@ -105,10 +105,10 @@
 	}
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the listener receives on.
 func (l *Listener) Addr() netip.AddrPort { return l.addr }
 
-// Len returns how many flows are known and how many have an upstream socket.
+// Len returns the number of flows in the table and the number of flows with an upstream socket.
 func (l *Listener) Len() (known, bound int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,11 +116,11 @@
 	return known, l.boundFlows
 }
 
-// elapsed is the current time as flowtable counts it.
+// elapsed returns the current time as flowtable takes it: the duration since l.start.
 func (l *Listener) elapsed() time.Duration { return time.Since(l.start) }
 
-// Serve forwards datagrams until ctx ends. Then it ends all placements, closes its sockets and
-// returns when its goroutines have ended and the dispatcher knows of it.
+// Serve forwards datagrams until ctx ends. It then ends all placements, closes all sockets, and
+// returns after all goroutines have ended and the dispatcher has received all pending calls.
 func (l *Listener) Serve(ctx context.Context) {
 	stopClosing := context.AfterFunc(ctx, func() { _ = l.conn.Close() })
 	defer stopClosing()
@@ -149,7 +149,8 @@
 	}
 }
 
-// maintain expires flows, places those whose turn has come and checks for silent endpoints.
+// maintain expires flows, places queued flows as the pacers allow, and checks for silent
+// endpoints, at each maintenanceInterval until ctx ends.
 func (l *Listener) maintain(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -172,12 +173,12 @@
 
 func (l *Listener) expireFlow(ref flowtable.Ref) {
 	l.Counts.Expired.Add(1)
-	l.forgetFlow(ref)
+	l.releaseFlow(ref)
 }
 
-// EndpointsChanged tells the listener that the list of endpoints has changed: flows whose
-// endpoint drains or was removed lose it at once, and are placed again at the rate of
-// Options.ReplacedFlows when they next send.
+// EndpointsChanged applies a change of the endpoint list. It ends the placements of flows whose
+// endpoint drains or was removed. Each of these flows is placed again with its next datagram, at
+// the rate of Options.ReplacedFlows.
 func (l *Listener) EndpointsChanged() {
 	now := time.Now()
 	l.mu.Lock()
@@ -197,10 +198,12 @@
 			l.replacePlacement(current, balance.Cancelled)
 		}
 	}
-	l.forgetRemovedEndpoints()
+	l.deleteRemovedEndpoints()
 }
 
-func (l *Listener) forgetRemovedEndpoints() {
+// deleteRemovedEndpoints deletes the health of endpoints that are no longer listed and have no
+// flows.
+func (l *Listener) deleteRemovedEndpoints() {
 	for endpointID, health := range l.health {
 		if health.boundFlows == 0 && l.endpoints.Address(endpointID) == "" {
 			health.close()
--- a/internal/udp/listeners.go
+++ b/internal/udp/listeners.go
@@ -8,16 +8,17 @@
 	"sync"
 )
 
-// Listeners share one address, one for each core: the kernel spreads the flows over their
-// sockets, all datagrams of a flow to the same one. They share nothing but the dispatcher, so
-// that no lock is taken by two cores; each has its part of all limits.
+// Listeners are several listeners at one address, one for each core. The kernel distributes flows
+// over their sockets and delivers all datagrams of a flow to the same socket. The listeners share
+// only the dispatcher and the endpoints, so that cores don't contend for a listener's mutex. Each
+// listener has an equal part of every limit.
 type Listeners []*Listener
 
-// Open opens count listeners at one address, which together keep to the options. It returns an
-// error if the address is unspecified, taken or not this machine's.
+// Open opens count listeners at one address. The limits in options apply to all of them together.
+// Open returns an error if the address is unspecified, in use or not an address of this machine.
 func Open(options Options, count int, dispatcher Dispatcher, endpoints Endpoints) (Listeners, error) {
 	if !options.Listen.IsValid() || options.Listen.Addr().IsUnspecified() {
-		return nil, fmt.Errorf("udp: listen on %v: replies need one address to come from", options.Listen)
+		return nil, fmt.Errorf("udp: listen on %v: replies need a specific source address", options.Listen)
 	}
 	conns, err := listenUDP(options.Listen, count)
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	var listeners Listeners
 	for i, conn := range conns {
-		listener := newListener(options.share(count), conn, dispatcher, endpoints)
+		listener := newListener(options.divide(count), conn, dispatcher, endpoints)
 		if count > 1 {
 			listener.idPrefix = fmt.Sprintf("u%d.", i)
 		}
@@ -35,31 +36,32 @@
 	return listeners, nil
 }
 
-// Addr is the address that they listen on.
-func (all Listeners) Addr() netip.AddrPort { return all[0].addr }
+// Addr returns the address that the listeners receive on.
+func (ls Listeners) Addr() netip.AddrPort { return ls[0].addr }
 
-// EndpointsChanged calls Listener.EndpointsChanged of each.
-func (all Listeners) EndpointsChanged() {
-	for _, listener := range all {
+// EndpointsChanged calls Listener.EndpointsChanged on each listener.
+func (ls Listeners) EndpointsChanged() {
+	for _, listener := range ls {
 		listener.EndpointsChanged()
 	}
 }
 
-// Serve serves all until ctx ends, and then logs the sums of their counts.
-func (all Listeners) Serve(ctx context.Context) {
+// Serve runs all listeners until ctx ends, and then logs the sums of their counts.
+func (ls Listeners) Serve(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, listener := range all {
+	for _, listener := range ls {
 		wg.Go(func() { listener.Serve(ctx) })
 	}
 	wg.Wait()
-	all.logCounts()
+	ls.logCounts()
 }
 
-// logCounts logs numbers alone: scenarios read all attributes of this line as counts.
-func (all Listeners) logCounts() {
+// logCounts logs the sums of all counts. Every attribute must be a number, because the scenarios
+// parse all attributes of this line as counts.
+func (ls Listeners) logCounts() {
 	var total Counts
 	waiting := 0
-	for _, listener := range all {
+	for _, listener := range ls {
 		waiting += listener.options.QueueBudget.Count - listener.queueBudget.Count
 		total.add(&listener.Counts)
 	}
--- a/internal/udp/listenudp.go
+++ b/internal/udp/listenudp.go
@@ -9,14 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketBufferBytes is asked for as the buffer of busy sockets; the kernel grants what
-// net.core.rmem_max and wmem_max allow.
+// socketBufferBytes is the requested buffer size of listening and shared sockets. The kernel caps
+// it at net.core.rmem_max and net.core.wmem_max.
 const socketBufferBytes = 4 << 20
 
 // listenUDP opens count sockets at one address.
 func listenUDP(address netip.AddrPort, count int) (conns []*net.UDPConn, err error) {
-	// The first bind is exclusive. Sockets with SO_REUSEPORT share their address with any other
-	// process of this user that sets it too, and nobody would learn that the address is taken.
+	// The first bind is exclusive, to detect an address that is in use. A socket with SO_REUSEPORT
+	// would share the address with a process of the same user that sets the option too, without
+	// an error.
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
--- a/internal/udp/options.go
+++ b/internal/udp/options.go
@@ -9,7 +9,7 @@
 	"coralrelay/internal/flowtable"
 )
 
-// Dispatcher places flows on endpoints; the event loop of package dispatch does.
+// Dispatcher places flows on endpoints. The event loop of package dispatch implements it.
 type Dispatcher interface {
 	Submit(placement dispatch.Placement, starter dispatch.AttemptStarter)
 	ClientGone(placement dispatch.Placement)
@@ -19,42 +19,45 @@
 		latency time.Duration, load balance.LoadReport)
 }
 
-// Endpoints knows the addresses and states of endpoints.
+// Endpoints provides the addresses and states of endpoints.
 type Endpoints interface {
-	// Address is host and port, or empty if the endpoint is not known.
+	// Address returns host and port, or the empty string if the endpoint is not known.
 	Address(endpointID string) string
-	// CanSend is false once an endpoint's drain grace is over, less a safety margin.
+	// CanSend reports whether datagrams may still be sent to an endpoint. It returns false from a
+	// safety margin before the end of the endpoint's drain grace.
 	CanSend(endpointID string, now time.Time) bool
-	// MayBegin is whether a new flow may be bound to the endpoint: CanSend, and the list that names it may be
-	// relied on.
+	// MayBegin reports whether a new flow may be bound to an endpoint: CanSend must hold, and the
+	// lease of the list that names the endpoint must be valid.
 	MayBegin(endpointID string, now time.Time) bool
-	// IsDraining is true of endpoints that drain or were removed.
+	// IsDraining reports whether an endpoint drains or was removed.
 	IsDraining(endpointID string, now time.Time) bool
-	// IsResponsive is the result of the last probe, and true before the first.
+	// IsResponsive reports whether an endpoint answered its last probe. It returns true before the
+	// first probe.
 	IsResponsive(endpointID string) bool
 }
 
-// Options configure the listeners at one address, all together.
+// Options configure the listeners at one address. Limits apply to all listeners together.
 type Options struct {
-	Listen        netip.AddrPort // one address, since replies come from it; not the unspecified one
-	Class         string         // of the placements
-	Deadline      time.Duration  // for a placement
+	Listen        netip.AddrPort // a specific address, because replies are sent from it
+	Class         string         // class of the placements
+	Deadline      time.Duration  // time limit of a placement
 	Table         flowtable.Options
 	Sources       flowtable.SourceOptions
-	FlowQueue     flowtable.QueueLimit  // datagrams of one flow that wait for its placement
-	QueueBudget   flowtable.QueueBudget // datagrams of all flows that wait
-	NewFlows      flowtable.Pacer       // placements of new flows: what a flood may cost the dispatcher
+	FlowQueue     flowtable.QueueLimit  // limit for datagrams of one flow that wait for its placement
+	QueueBudget   flowtable.QueueBudget // limit for waiting datagrams of all flows
+	NewFlows      flowtable.Pacer       // placements of new flows; limits the dispatcher's load in a flood
 	ReplacedFlows flowtable.Pacer       // placements of flows that lost their endpoint
-	Sockets       int                   // upstream sockets: one for each flow, or each endpoint and listener
-	SharedSockets bool                  // flows share an endpoint's socket; replies need ProxyHeader then
-	ProxyHeader   bool                  // a PROXY v2 header is put before each datagram to endpoints
+	Sockets       int                   // upstream sockets: one per flow, or per endpoint and listener
+	SharedSockets bool                  // flows share a socket per endpoint; replies then need ProxyHeader
+	ProxyHeader   bool                  // put a PROXY v2 header before each datagram to an endpoint
 	Silence       flowtable.SilenceOptions
-	Echo          string // datagram that endpoints answer as a health check; empty to use their probes
+	Echo          string // echo request that endpoints answer as a health check; empty to use probes
 }
 
-// share returns the options of one of several listeners at the address. The kernel spreads the
-// flows of a source over all listeners, so that the limits of sources are divided too.
-func (o Options) share(parts int) Options {
+// divide returns the options of one of several listeners at an address, with an equal part of each
+// limit. The limits of sources are divided too, because the kernel distributes the flows of a
+// source over all listeners.
+func (o Options) divide(parts int) Options {
 	divideUp := func(limit int) int { return max(1, (limit+parts-1)/parts) }
 	o.Table.Entries = divideUp(o.Table.Entries)
 	o.Sockets = max(1, o.Sockets/parts)
--- a/internal/udp/outbox.go
+++ b/internal/udp/outbox.go
@@ -1,7 +1,7 @@
 package udp
 
-// notify queues a call of the dispatcher. It is called under the listener's lock and does not
-// wait: the dispatcher may itself be waiting for that lock, to reject or migrate a flow.
+// notify queues a call of the dispatcher. The caller holds the listener's mutex. notify does not
+// block, because the dispatcher may be waiting for the same mutex to reject or migrate a flow.
 func (l *Listener) notify(call func()) {
 	l.outbox = append(l.outbox, call)
 	select {
@@ -10,7 +10,7 @@
 	}
 }
 
-// runOutbox makes the queued calls in order, until stop is closed and the outbox is empty.
+// runOutbox executes the queued calls in order until stop is closed and the outbox is empty.
 func (l *Listener) runOutbox(stop <-chan struct{}) {
 	for stopped := false; !stopped; {
 		select {
--- a/internal/udp/placement.go
+++ b/internal/udp/placement.go
@@ -9,28 +9,28 @@
 	"coralrelay/internal/flowtable"
 )
 
-// idBase is the base that placements' IDs are written in.
+// idBase is the numeral base of the numbers in placement IDs.
 const idBase = 36
 
-// placement is one placement of a flow, which the dispatcher decides on. A flow has another
-// one each time that it is placed again.
+// placement is one placement of a flow, decided by the dispatcher. Each time a flow is placed
+// again, it gets a new placement.
 type placement struct {
 	dispatch.Request
 	listener *Listener
 	ref      flowtable.Ref
 
-	// Under the listener's lock:
+	// Protected by the listener's mutex:
 	endpointID string
-	socket     *upstreamSocket // nil unless it is established
+	socket     *upstreamSocket // nil unless the placement is established
 	ended      bool
 }
 
-// needsPlacement reports whether a flow that waits for a placement still does.
+// needsPlacement reports whether a queued flow is still in the table and has no placement.
 func (l *Listener) needsPlacement(ref flowtable.Ref) bool {
 	return l.table.IsValid(ref) && l.bindings[ref.Index].placement == nil
 }
 
-// placeQueued requests placements for the flows whose turn it is.
+// placeQueued requests placements for queued flows as far as the pacers allow.
 func (l *Listener) placeQueued(now time.Time) {
 	for _, pacer := range []*flowtable.Pacer{&l.replacedFlows, &l.newFlows} {
 		for {
@@ -44,7 +44,7 @@
 	}
 }
 
-// requestPlacement has the dispatcher place a flow.
+// requestPlacement submits a new placement of a flow to the dispatcher.
 func (l *Listener) requestPlacement(ref flowtable.Ref, now time.Time) {
 	flow := &l.bindings[ref.Index]
 	l.lastID++
@@ -62,14 +62,14 @@
 	l.notify(func() { l.dispatcher.Submit(requested, l) })
 }
 
-// replacePlacement ends a flow's placement. The flow is placed again when it next sends and
-// its turn has come: of the flows of a lost endpoint, most may have nothing more to send.
+// replacePlacement ends a flow's placement. The flow is queued to be placed again when its client
+// sends the next datagram, because most flows of a lost endpoint may never send again.
 func (l *Listener) replacePlacement(replaced *placement, outcome balance.Outcome) {
 	l.endPlacement(replaced, outcome)
 	l.Counts.Replaced.Add(1)
 }
 
-// replaceFlowsOf replaces all placements at an endpoint and returns how many there were.
+// replaceFlowsOf replaces all placements at an endpoint and returns their number.
 func (l *Listener) replaceFlowsOf(health *endpointHealth) (replaced int) {
 	for i := range l.bindings {
 		current := l.bindings[i].placement
@@ -81,8 +81,7 @@
 	return replaced
 }
 
-// endPlacement ends a placement, whether it is requested or established, and tells the
-// dispatcher.
+// endPlacement ends a requested or established placement and notifies the dispatcher.
 func (l *Listener) endPlacement(ending *placement, outcome balance.Outcome) {
 	if ending.ended {
 		return
@@ -103,23 +102,24 @@
 	l.notify(func() { l.dispatcher.PlacementEnded(ending, outcome) })
 }
 
-// StartAttempt gives a flow its upstream socket. Nothing is sent to find out whether the
-// endpoint is up: an attempt counts as established as soon as there is a socket, and a refusal
-// or silence ends the placement later. Once the listener is closed, nobody waits for goroutines any more:
-// the attempt is reported as not sent.
+// StartAttempt binds a flow to an upstream socket. It sends nothing to check the endpoint: an
+// attempt is established as soon as the flow has a socket, and a refusal or silence ends the
+// placement later. After the listener has closed, StartAttempt reports the attempt as not sent,
+// because Serve no longer waits for new goroutines.
 func (l *Listener) StartAttempt(requested dispatch.Placement, attempt int, endpointID string, _ time.Time) {
 	starting := requested.(*placement)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		go l.dispatcher.AttemptEnded(starting, attempt, endpointID, balance.NotSent, 0, balance.EmptyLoadReport)
+		go l.dispatcher.AttemptEnded(
+			starting, attempt, endpointID, balance.NotSent, 0, balance.EmptyLoadReport)
 		return
 	}
 	l.wg.Go(func() {
 		startedAt := time.Now()
 		outcome := l.establish(starting, endpointID, startedAt)
 		if outcome == balance.OK {
-			l.dispatcher.AttemptEstablished(starting, attempt, endpointID, 0) // no latency was measured
+			l.dispatcher.AttemptEstablished(starting, attempt, endpointID, 0) // the latency is not measured
 			return
 		}
 		latency := time.Since(startedAt)
@@ -127,8 +127,9 @@
 	})
 }
 
-// establish binds a flow to a socket and sends what waited. It returns NotSent if the placement has ended or
-// nothing new may be sent to the endpoint, and ConnectFailed if there is no socket.
+// establish binds a flow to a socket and sends its queued datagrams. It returns NotSent if the
+// placement has ended, the listener has closed or no new flow may be bound to the endpoint, and
+// ConnectFailed if no socket can be opened.
 func (l *Listener) establish(starting *placement, endpointID string, now time.Time) balance.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +138,8 @@
 	}
 	socket, opened, err := l.acquireSocket(endpointID)
 	if err != nil {
-		l.warnings.Warn("cannot open upstream socket", "component", component, "endpoint", endpointID, "error", err)
+		l.warnings.Warn("cannot open upstream socket",
+			"component", component, "endpoint", endpointID, "error", err)
 		return balance.ConnectFailed
 	}
 	starting.socket, starting.endpointID = socket, endpointID
@@ -145,7 +147,7 @@
 	l.batchTime = now.Sub(l.start)
 	l.sendQueued(starting)
 	l.flush()
-	if opened && socket.boundFlows > 0 { // else a write was refused and the placement has ended again
+	if opened && socket.boundFlows > 0 { // otherwise a refused write has already ended the placement
 		l.startReplies(starting, socket)
 	}
 	return balance.OK
@@ -154,7 +156,7 @@
 func (l *Listener) sendQueued(established *placement) {
 	flow := &l.bindings[established.ref.Index]
 	flow.queue.Drain(&l.queueBudget, func(datagram []byte) {
-		if established.socket == nil { // an earlier write was refused
+		if established.socket == nil { // a refused write has ended the placement
 			l.Counts.Unsent.Add(1)
 			return
 		}
@@ -162,14 +164,14 @@
 	})
 }
 
-// PlacementRequest is what the dispatcher decides on.
+// PlacementRequest returns the request that the dispatcher decides on.
 func (p *placement) PlacementRequest() *dispatch.Request { return &p.Request }
 
-// Reject is Fail: there is no answer that tells a client of datagrams when to try again.
+// Reject calls Fail, because a client of datagrams can't be told when to retry.
 func (p *placement) Reject(time.Duration) bool { return p.Fail() }
 
-// Fail forgets the flow and drops the datagrams that wait. Its next datagram opens a new flow. It
-// returns false if the placement has ended or is established.
+// Fail removes the flow and drops its queued datagrams. The client's next datagram opens a new
+// flow. Fail returns false if the placement has ended or is established.
 func (p *placement) Fail() bool {
 	l := p.listener
 	l.mu.Lock()
@@ -187,7 +189,7 @@
 	return true
 }
 
-// Migrate has an established flow placed again.
+// Migrate replaces the placement if it is established, so that the flow is placed again.
 func (p *placement) Migrate() {
 	p.listener.mu.Lock()
 	defer p.listener.mu.Unlock()
--- a/internal/udp/proxyheader.go
+++ b/internal/udp/proxyheader.go
@@ -8,10 +8,10 @@
 	"coralrelay/internal/flowtable"
 )
 
-var errProxyHeader = errors.New("no PROXY v2 header for UDP")
+var errProxyHeader = errors.New("missing or malformed PROXY v2 header for UDP")
 
-// The PROXY protocol, version 2 (haproxy.org, proxy-protocol.txt, section 2.2), for
-// datagrams: a header before each names its client to the endpoint.
+// Constants of the PROXY protocol, version 2 (haproxy.org, proxy-protocol.txt, section 2.2). Each
+// datagram has its own header, which tells the endpoint the client's address.
 const (
 	proxySignature      = "\r\n\r\n\x00\r\nQUIT\n"
 	proxyVersionCommand = 0x21 // version 2, command PROXY
@@ -25,15 +25,16 @@
 	proxyIPv4Len       = 2*4 + 2*2  // addresses and ports
 	proxyIPv6Len       = 2*16 + 2*2 // addresses and ports
 
-	// maxProxyHeaderLen is the length of the longest header that is written.
+	// maxProxyHeaderLen is the length of the longest header that appendProxyHeader writes.
 	maxProxyHeaderLen = proxyFixedLen + proxyIPv6Len + flowRefTLVLen
 )
 
-// The value behind the addresses that refers to the flow (type, length, value). An endpoint
-// that repeats the header in its replies over a shared socket has them find their flow again.
+// Constants of the TLV (type, length, value) after the addresses that refers to the flow. An
+// endpoint that uses a shared socket repeats the header in its replies, so that each reply can be
+// matched to its flow.
 const (
 	tlvHeaderLen = 3
-	// tlvFlowRef is of the range that section 2.2.8 leaves to applications, 0xE0 to 0xEF.
+	// tlvFlowRef is in the range that section 2.2.8 reserves for applications, 0xE0 to 0xEF.
 	tlvFlowRef    = 0xE0
 	flowRefLen    = 4 + 4 // index and generation
 	flowRefTLVLen = tlvHeaderLen + flowRefLen
@@ -71,10 +72,11 @@
 	return b
 }
 
-// parseProxyHeader reads a header and returns what follows it as rest. ref is the zero value
-// unless the header refers to a flow; other values behind the addresses are skipped. The
-// error is errProxyHeader.
-func parseProxyHeader(b []byte) (source, destination netip.AddrPort, ref flowtable.Ref, rest []byte, err error) {
+// parseProxyHeader parses a header and returns the bytes after it as rest. ref is the zero value
+// unless the header refers to a flow. Other TLVs are skipped. The only error is errProxyHeader.
+func parseProxyHeader(
+	b []byte,
+) (source, destination netip.AddrPort, ref flowtable.Ref, rest []byte, err error) {
 	if !hasProxyPrefix(b) {
 		return source, destination, ref, nil, errProxyHeader
 	}
@@ -88,11 +90,13 @@
 	switch family := b[proxyFamilyOffset]; {
 	case family == proxyUDPv4 && length >= proxyIPv4Len:
 		source = netip.AddrPortFrom(netip.AddrFrom4([4]byte(body)), binary.BigEndian.Uint16(body[8:]))
-		destination = netip.AddrPortFrom(netip.AddrFrom4([4]byte(body[4:])), binary.BigEndian.Uint16(body[10:]))
+		destination = netip.AddrPortFrom(
+			netip.AddrFrom4([4]byte(body[4:])), binary.BigEndian.Uint16(body[10:]))
 		tlvs = body[proxyIPv4Len:]
 	case family == proxyUDPv6 && length >= proxyIPv6Len:
 		source = netip.AddrPortFrom(netip.AddrFrom16([16]byte(body)), binary.BigEndian.Uint16(body[32:]))
-		destination = netip.AddrPortFrom(netip.AddrFrom16([16]byte(body[16:])), binary.BigEndian.Uint16(body[34:]))
+		destination = netip.AddrPortFrom(
+			netip.AddrFrom16([16]byte(body[16:])), binary.BigEndian.Uint16(body[34:]))
 		tlvs = body[proxyIPv6Len:]
 	default:
 		return source, destination, ref, nil, errProxyHeader
@@ -110,7 +114,8 @@
 		b[proxyVersionOffset] == proxyVersionCommand
 }
 
-// parseFlowRef finds the last reference to a flow among the values behind the addresses.
+// parseFlowRef returns the last reference to a flow among the TLVs, or the zero value if there is
+// none. The only error is errProxyHeader.
 func parseFlowRef(tlvs []byte) (ref flowtable.Ref, err error) {
 	for len(tlvs) >= tlvHeaderLen {
 		kind := tlvs[0]
--- a/internal/udp/proxyheader_test.go
+++ b/internal/udp/proxyheader_test.go
@@ -8,7 +8,7 @@
 	"coralrelay/internal/flowtable"
 )
 
-// What is parsed is the same after it was written and parsed again.
+// A parsed header is unchanged after it is written and parsed again.
 func FuzzProxyHeader(f *testing.F) {
 	ipv4, ipv6 := netip.MustParseAddrPort("127.0.0.9:53"), netip.MustParseAddrPort("[::1]:7")
 	f.Add(append(appendProxyHeader(nil, ipv4, ipv4, flowtable.Ref{}), "hello"...))
@@ -20,7 +20,7 @@
 			return
 		}
 		if ref.Gen == 0 {
-			ref = flowtable.Ref{} // refers to no flow
+			ref = flowtable.Ref{} // generation 0 refers to no flow
 		}
 		written := append(appendProxyHeader(nil, source, destination, ref), rest...)
 		source2, destination2, ref2, rest2, err := parseProxyHeader(written)
--- a/internal/udp/receive.go
+++ b/internal/udp/receive.go
@@ -14,10 +14,10 @@
 	"coralrelay/internal/mutation"
 )
 
-// readRetryInterval is the pause after a failed read.
+// readRetryInterval is the pause after a failed read of clients' datagrams.
 const readRetryInterval = time.Millisecond
 
-// newBatch returns messages to read a batch into.
+// newBatch returns batchSize messages with read buffers.
 func newBatch(bufferSize int) []ipv4.Message {
 	messages := make([]ipv4.Message, batchSize)
 	for i := range messages {
@@ -26,7 +26,7 @@
 	return messages
 }
 
-// readDatagrams takes the clients' datagrams in batches until ctx ends.
+// readDatagrams reads clients' datagrams in batches until ctx ends.
 func (l *Listener) readDatagrams(ctx context.Context) {
 	messages := newBatch(maxDatagramSize)
 	for {
@@ -56,8 +56,8 @@
 	l.flush()
 }
 
-// handleDatagram sends a client's datagram to its flow's endpoint, or queues it until the flow
-// has one. It is called under the lock.
+// handleDatagram sends a client's datagram to the endpoint of its flow, or queues it until the
+// flow is placed. The caller holds the mutex.
 func (l *Listener) handleDatagram(source netip.AddrPort, datagram []byte, now time.Time) {
 	l.Counts.In.Add(1)
 	key := flowtable.Key{Addr: source.Addr().As16(), Port: source.Port()}
@@ -76,7 +76,7 @@
 			l.send(flow, current, datagram)
 			return
 		}
-		l.replacePlacement(current, balance.Cancelled) // the endpoint drains; this datagram goes elsewhere too
+		l.replacePlacement(current, balance.Cancelled) // the endpoint drains or was removed
 	}
 	if flow.placement == nil && !flow.awaitsPlacement {
 		flow.awaitsPlacement = true
@@ -86,9 +86,11 @@
 	l.enqueue(flow, datagram)
 }
 
-// openFlow admits a flow to the table and queues it for a placement. Its datagram is dropped
-// and counted if it is not admitted.
-func (l *Listener) openFlow(key flowtable.Key, client netip.AddrPort, now time.Time) (ref flowtable.Ref, ok bool) {
+// openFlow adds a flow to the table and queues it for a placement. If the flow is not admitted,
+// openFlow counts its datagram as dropped and returns false.
+func (l *Listener) openFlow(
+	key flowtable.Key, client netip.AddrPort, now time.Time,
+) (ref flowtable.Ref, ok bool) {
 	elapsed := now.Sub(l.start)
 	if !l.sources.Allow(key, elapsed) && !mutation.Enabled("source") {
 		l.Counts.Limited.Add(1)
@@ -108,17 +110,18 @@
 
 func (l *Listener) evictFlow(ref flowtable.Ref) {
 	l.Counts.Evicted.Add(1)
-	l.forgetFlow(ref)
+	l.releaseFlow(ref)
 }
 
-// enqueue keeps a copy of a datagram until its flow is placed.
+// enqueue adds a copy of a datagram to the flow's queue.
 func (l *Listener) enqueue(flow *binding, datagram []byte) {
 	queued := append([]byte(nil), datagram...)
 	flow.queue.Put(queued, l.options.FlowQueue, &l.queueBudget, func([]byte) { l.Counts.Queue.Add(1) })
 }
 
-// forgetFlow drops the datagrams and ends the placement of a flow that leaves the table.
-func (l *Listener) forgetFlow(ref flowtable.Ref) {
+// releaseFlow drops the queued datagrams and ends the placement of a flow that expires or is
+// evicted.
+func (l *Listener) releaseFlow(ref flowtable.Ref) {
 	flow := &l.bindings[ref.Index]
 	flow.queue.Drain(&l.queueBudget, func([]byte) { l.Counts.Gone.Add(1) })
 	if flow.placement != nil {
--- a/internal/udp/replies.go
+++ b/internal/udp/replies.go
@@ -12,10 +12,10 @@
 	"coralrelay/internal/mutation"
 )
 
-// readErrorPause is the pause after a read of replies that failed for a reason of this machine.
+// readErrorPause is the pause after a read of replies that failed for a local reason.
 const readErrorPause = 5 * time.Millisecond
 
-// startReplies starts the goroutine that relays what comes back over a new socket.
+// startReplies starts the goroutine that relays the replies from a new upstream socket.
 func (l *Listener) startReplies(established *placement, socket *upstreamSocket) {
 	if l.options.SharedSockets {
 		l.wg.Go(func() { l.relaySharedReplies(socket) })
@@ -24,8 +24,8 @@
 	}
 }
 
-// relayReplies relays an endpoint's replies to a flow's client. The socket is that placement's
-// alone and is closed when it ends.
+// relayReplies relays an endpoint's replies to the flow's client. Only this placement uses the
+// socket, which is closed when the placement ends.
 func (l *Listener) relayReplies(current *placement, conn *net.UDPConn) {
 	client := l.clientAddress(current)
 	buffer := make([]byte, typicalDatagramSize)
@@ -38,11 +38,11 @@
 			continue
 		}
 		if flags&truncatedFlag != 0 && len(buffer) < maxDatagramSize {
-			buffer = make([]byte, maxDatagramSize) // for the next; this one is lost
+			buffer = make([]byte, maxDatagramSize) // for later replies; this one is dropped
 			l.Counts.UnmatchedReplies.Add(1)
 			continue
 		}
-		if !l.touchCurrent(current) {
+		if !l.recordReply(current) {
 			l.Counts.UnmatchedReplies.Add(1)
 			continue
 		}
@@ -58,8 +58,9 @@
 	return l.bindings[current.ref.Index].client
 }
 
-// pauseAfterReadError waits for a moment, unless the error was the endpoint's answer: one that persists must not keep a
-// processor busy.
+// pauseAfterReadError counts a read error and sleeps for readErrorPause, so that a
+// persistent error does not cause a busy loop. It does neither if the endpoint refused a datagram
+// or the socket is closed.
 func (l *Listener) pauseAfterReadError(err error) {
 	if !isRefused(err) && !errors.Is(err, net.ErrClosed) {
 		l.Counts.ReadErrors.Add(1)
@@ -67,8 +68,8 @@
 	}
 }
 
-// handleReadError replaces the placement if its endpoint refused a datagram, and returns whether
-// the placement has ended and its socket with it.
+// handleReadError replaces the placement if its endpoint refused a datagram. It returns whether
+// the placement has ended, which closes its socket.
 func (l *Listener) handleReadError(current *placement, err error) (ended bool) {
 	l.pauseAfterReadError(err)
 	l.mu.Lock()
@@ -79,8 +80,8 @@
 	return current.ended || errors.Is(err, net.ErrClosed)
 }
 
-// touchCurrent records a reply, and returns false if its placement has ended.
-func (l *Listener) touchCurrent(current *placement) bool {
+// recordReply records a reply to a flow. It returns false if the placement has ended.
+func (l *Listener) recordReply(current *placement) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if current.ended || !l.table.IsValid(current.ref) {
@@ -91,8 +92,8 @@
 	return true
 }
 
-// relaySharedReplies relays an endpoint's replies over a shared socket, each to the client of
-// the flow that its PROXY header refers to.
+// relaySharedReplies relays the replies that arrive at a shared socket, each to the client of the
+// flow that the reply's PROXY header refers to.
 func (l *Listener) relaySharedReplies(socket *upstreamSocket) {
 	messages := newBatch(typicalDatagramSize)
 	replies := make([]ipv4.Message, 0, batchSize)
@@ -109,8 +110,8 @@
 	}
 }
 
-// handleSharedReadError replaces all flows of the endpoint if it refused a datagram, and returns
-// whether the socket is closed.
+// handleSharedReadError replaces all placements at the endpoint if it refused a datagram. It
+// returns whether the socket is closed.
 func (l *Listener) handleSharedReadError(socket *upstreamSocket, err error) (closed bool) {
 	l.pauseAfterReadError(err)
 	l.mu.Lock()
@@ -121,7 +122,8 @@
 	return socket.boundFlows == 0 || errors.Is(err, net.ErrClosed)
 }
 
-// matchReplies appends the messages to clients for those that came over a shared socket.
+// matchReplies appends to replies the message to the client for each datagram from a shared socket
+// that matches a flow, and returns the extended slice.
 func (l *Listener) matchReplies(socket *upstreamSocket, messages, replies []ipv4.Message) []ipv4.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,7 @@
 	for i := range messages {
 		message := &messages[i]
 		if message.Flags&truncatedFlag != 0 && len(message.Buffers[0]) < maxDatagramSize {
-			message.Buffers[0] = make([]byte, maxDatagramSize) // for the next; this one is lost
+			message.Buffers[0] = make([]byte, maxDatagramSize) // for later replies; this one is dropped
 			l.Counts.UnmatchedReplies.Add(1)
 			continue
 		}
@@ -144,9 +146,9 @@
 	return replies
 }
 
-// matchReply returns the client that a reply is for. The flow that its header refers to must
-// still be in the table and bound to this socket: by now the table entry, or the client's
-// address, may be another flow's.
+// matchReply returns the client and the payload of a reply. It returns false unless the flow that
+// the header refers to is still in the table and bound to this socket, because the table entry or
+// the client's address may belong to another flow by then.
 func (l *Listener) matchReply(
 	socket *upstreamSocket, datagram []byte, elapsed time.Duration,
 ) (client netip.AddrPort, payload []byte, ok bool) {
@@ -167,13 +169,13 @@
 	if flow.placement == nil || flow.placement.socket != socket {
 		return netip.AddrPort{}, nil, false
 	}
-	// Unmatched replies are no evidence: they may have been on their way for long.
+	// Only matched replies count for the endpoint's liveness; unmatched ones may be long delayed.
 	socket.health.evidence.Received()
 	l.table.Touch(ref, elapsed)
 	return flow.client, payload, true
 }
 
-// writeReplies writes to clients. A reply whose write fails is skipped.
+// writeReplies writes replies to clients. It skips a reply whose write fails.
 func (l *Listener) writeReplies(unsent []ipv4.Message) {
 	for len(unsent) > 0 {
 		n, err := l.packets.WriteBatch(unsent, 0)
--- a/internal/udp/segmenter.go
+++ b/internal/udp/segmenter.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxSegments is how many datagrams the kernel cuts from one message.
+	// maxSegments is the maximum number of datagrams that the kernel segments one message into.
 	maxSegments = 64
-	// maxSegmentedBytes is how long a message of several datagrams may be.
+	// maxSegmentedBytes is the maximum length of a message of several datagrams.
 	maxSegmentedBytes = 60_000
-	// maxSegmentSize is the largest datagram that is joined with others, in bytes. Above the
-	// path's MTU the kernel refuses to segment what it would otherwise fragment.
+	// maxSegmentSize is the size of the largest datagram that is joined with others, in bytes. The
+	// kernel fragments a single datagram above the path's MTU, but refuses to segment a message
+	// into datagrams of that size.
 	maxSegmentSize = 1200
 	// segmentSizeLen is the length of the segment size in the control message.
 	segmentSizeLen = 2
@@ -22,19 +23,19 @@
 
 var segmentControlLen = unix.CmsgSpace(segmentSizeLen)
 
-// segmenter joins datagrams of one size that follow each other into one message, which the
-// kernel cuts again (generic segmentation offload, UDP_SEGMENT): one pass through the network
-// stack instead of many. The last datagram of a message may be shorter.
+// segmenter joins consecutive datagrams of equal size into one message, which the kernel segments
+// again (generic segmentation offload, UDP_SEGMENT). A message passes through the network stack
+// once, instead of once per datagram. The last datagram of a message may be shorter.
 type segmenter struct {
-	disabled  bool           // the route can't segment
-	datagrams []ipv4.Message // of the batch
-	starts    []int          // of each message: its first datagram
+	disabled  bool           // the route does not support segmentation
+	datagrams []ipv4.Message // the current batch
+	starts    []int          // by message: index of its first datagram
 	messages  []ipv4.Message
 	buffers   [][]byte
 	control   []byte
 }
 
-// join returns the messages for a batch. They are valid until the next call.
+// join returns the messages for a batch of datagrams. They are valid until the next call.
 func (s *segmenter) join(datagrams []ipv4.Message) []ipv4.Message {
 	s.datagrams = datagrams
 	s.starts, s.messages, s.buffers = s.starts[:0], s.messages[:0], s.buffers[:0]
@@ -50,7 +51,7 @@
 	return s.messages
 }
 
-// appendMessage appends one message for one or several datagrams.
+// appendMessage appends one message that consists of the given datagrams.
 func (s *segmenter) appendMessage(joined []ipv4.Message) {
 	firstBuffer := len(s.buffers)
 	for i := range joined {
@@ -65,17 +66,18 @@
 	s.messages = append(s.messages, message)
 }
 
-// runLength is how many datagrams at the beginning of a batch go into one message.
+// runLength returns the number of datagrams at the beginning of a batch that form one message.
 func (s *segmenter) runLength(datagrams []ipv4.Message) (count int) {
 	segmentSize := messageSize(&datagrams[0])
 	if s.disabled || segmentSize == 0 || segmentSize > maxSegmentSize {
 		return 1
 	}
-	for count = 1; count < min(len(datagrams), maxSegments) && (count+1)*segmentSize <= maxSegmentedBytes; count++ {
+	for count = 1; count < min(len(datagrams), maxSegments) &&
+		(count+1)*segmentSize <= maxSegmentedBytes; count++ {
 		switch next := messageSize(&datagrams[count]); {
 		case next == segmentSize:
 		case next > 0 && next < segmentSize:
-			return count + 1 // a shorter one is the last
+			return count + 1 // a shorter datagram ends the message
 		default:
 			return count
 		}
@@ -83,7 +85,7 @@
 	return count
 }
 
-// datagramsIn is how many datagrams are joined in a message.
+// datagramsIn returns the number of datagrams in a message.
 func (s *segmenter) datagramsIn(message int) int {
 	end := len(s.datagrams)
 	if message+1 < len(s.starts) {
@@ -92,14 +94,14 @@
 	return end - s.starts[message]
 }
 
-// splitFrom returns the datagrams from a message on, each in a message of its own, and joins
-// no more datagrams from now on.
+// splitFrom disables joining and returns the datagrams of the given message and all later ones,
+// each in a separate message.
 func (s *segmenter) splitFrom(message int) []ipv4.Message {
 	s.disabled = true
 	return s.join(s.datagrams[s.starts[message]:])
 }
 
-// messageSize is the length of a message in bytes.
+// messageSize returns the length of a message in bytes.
 func messageSize(message *ipv4.Message) (total int) {
 	for _, buffer := range message.Buffers {
 		total += len(buffer)
@@ -107,7 +109,7 @@
 	return total
 }
 
-// putSegmentSize writes the control message that has the kernel cut a message into datagrams.
+// putSegmentSize writes the control message that tells the kernel the size of a message's segments.
 func putSegmentSize(control []byte, segmentSize int) []byte {
 	header := (*unix.Cmsghdr)(unsafe.Pointer(&control[0]))
 	header.Level = unix.IPPROTO_UDP
--- a/internal/udp/segmenter_test.go
+++ b/internal/udp/segmenter_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// segmentsOf cuts a message as the kernel does, by the size in its control message.
+// segmentsOf segments a message as the kernel does, by the size in its control message.
 func segmentsOf(message ipv4.Message) (segments [][]byte) {
 	rest := bytes.Join(message.Buffers, nil)
 	if len(message.OOB) == 0 {
@@ -24,8 +24,8 @@
 	return append(segments, rest)
 }
 
-// The kernel cuts the messages into the datagrams that were joined, in order. None is empty
-// or too large to be cut, and each is counted.
+// Segmenting the joined messages yields the original datagrams in order. No joined message exceeds
+// the limits of segmentation, and datagramsIn counts each datagram.
 func TestSegmenterKeepsEveryDatagram(t *testing.T) {
 	datagramSize := rapid.SampledFrom([]int{0, 1, 63, 64, 64, 64, 64, 65, 1200, 1201, 60_000})
 	rapid.Check(t, func(t *rapid.T) {
@@ -55,13 +55,15 @@
 	for i, message := range messages {
 		segments := segmentsOf(message)
 		if len(segments) != s.datagramsIn(i) {
-			t.Fatalf("message %d: %d datagrams, counted as %d", i, len(segments), s.datagramsIn(i))
+			t.Fatalf("message %d has %d datagrams, datagramsIn returned %d",
+				i, len(segments), s.datagramsIn(i))
 		}
 		if len(segments) > 1 {
 			size := messageSize(&message)
-			tooLarge := len(segments[0]) > maxSegmentSize || size > maxSegmentedBytes || len(segments) > maxSegments
+			tooLarge := len(segments[0]) > maxSegmentSize ||
+				size > maxSegmentedBytes || len(segments) > maxSegments
 			if s.disabled || tooLarge {
-				t.Fatalf("message %d: %d datagrams of %d bytes are joined", i, len(segments), size)
+				t.Fatalf("message %d joins %d datagrams with %d bytes in total", i, len(segments), size)
 			}
 		}
 		got = append(got, segments...)
@@ -71,12 +73,12 @@
 	}
 	for i := range got {
 		if !bytes.Equal(got[i], want[i]) {
-			t.Fatalf("datagram %d of %d: %d bytes, want %d", i, len(want), len(got[i]), len(want[i]))
+			t.Fatalf("datagram %d of %d differs: %d bytes, want %d", i, len(want), len(got[i]), len(want[i]))
 		}
 	}
 }
 
-// Bursts of datagrams of many sizes go through, and joined ones arrive as they were sent.
+// Bursts of datagrams of various sizes arrive in order, with the sizes that were sent.
 func TestSegmentedDatagramsArriveUnchanged(t *testing.T) {
 	listener, _, endpoints := startListener(t, withSharedSockets.and(func(options *Options) {
 		options.ProxyHeader = false
@@ -84,7 +86,7 @@
 	}))
 	client := dial(t, listener)
 	client.send("first")
-	eventually(t, "it is placed", func() bool { return endpoints.count("a") == 1 })
+	eventually(t, "the flow is placed", func() bool { return endpoints.count("a") == 1 })
 	sizes := []int{10, 10, 10, 7, 10, 900, 900, 1500, 0, 3}
 	sent := 1
 	for range 20 {
@@ -92,7 +94,7 @@
 			client.send(string(bytes.Repeat([]byte("x"), size)))
 			sent++
 		}
-		eventually(t, "all arrive", func() bool { return endpoints.count("a") == sent })
+		eventually(t, "all datagrams arrive", func() bool { return endpoints.count("a") == sent })
 	}
 	endpoints.mu.Lock()
 	defer endpoints.mu.Unlock()
@@ -102,6 +104,6 @@
 		}
 	}
 	if forwarded := listener.Counts.Forwarded.Load(); forwarded != int64(sent) {
-		t.Errorf("%d forwarded, want %d", forwarded, sent)
+		t.Errorf("%d datagrams forwarded, want %d", forwarded, sent)
 	}
 }
--- a/internal/udp/send.go
+++ b/internal/udp/send.go
@@ -11,13 +11,14 @@
 	"coralrelay/internal/flowtable"
 )
 
-// writeTimeout is how long a batch may wait for space in a socket's buffer. The listener's lock
-// is held meanwhile, so that what is late is dropped rather than delaying all other flows.
+// writeTimeout is the minimum time that a batch may wait for space in a socket's buffer. The write
+// holds the listener's mutex, so datagrams are dropped after the deadline instead of delaying all
+// other flows.
 const writeTimeout = 10 * time.Millisecond
 
-// send writes one datagram to a flow's endpoint, or has flush write it with the batch. Both
-// happen under the lock that canSend was asked under: a drain that is announced in between is
-// seen before the next write.
+// send writes one datagram to a flow's endpoint, or adds it to the batch that flush writes. The
+// caller holds the mutex from the call of canSend until the write, so that a drain that is
+// announced in between takes effect before the next write.
 func (l *Listener) send(flow *binding, target *placement, datagram []byte) {
 	target.socket.health.evidence.Sent(l.batchTime)
 	if l.options.SharedSockets {
@@ -40,7 +41,7 @@
 		return
 	}
 	l.Counts.Unsent.Add(1)
-	if isRefused(err) { // else it was too large or there were no buffers: the flow goes on
+	if isRefused(err) { // other errors, such as a datagram too large or no buffer space, keep the flow
 		l.replacePlacement(target, balance.Reset)
 	}
 }
@@ -67,7 +68,7 @@
 	}
 }
 
-// nextPending adds a message without buffers to the batch. It reuses those of earlier batches.
+// nextPending adds a message without buffers to the batch. It reuses messages of earlier batches.
 func (s *upstreamSocket) nextPending() *ipv4.Message {
 	index := len(s.pending)
 	if index < cap(s.pending) {
@@ -90,7 +91,8 @@
 	}
 }
 
-// writePending writes the batch of one shared socket. A refusal replaces all flows there.
+// writePending writes the batch of one shared socket. If the endpoint refuses a datagram, all
+// placements at the endpoint are replaced.
 func (l *Listener) writePending(socket *upstreamSocket) {
 	if len(socket.pending) == 0 {
 		return
@@ -103,8 +105,8 @@
 	}
 }
 
-// extendWriteDeadline leaves each batch writeTimeout at least. It sets the deadline for several
-// batches at once, since that costs as much as a datagram.
+// extendWriteDeadline ensures that the deadline is at least writeTimeout away. One deadline serves
+// several batches, because setting it costs as much as writing a datagram.
 func (s *upstreamSocket) extendWriteDeadline() {
 	if time.Now().Add(writeTimeout).After(s.writeDeadline) {
 		s.renewWriteDeadline()
@@ -116,15 +118,16 @@
 	_ = s.conn.SetWriteDeadline(s.writeDeadline)
 }
 
-// writeMessages writes a batch, counts its datagrams and returns whether the endpoint refused any. The deadline may
-// have passed before the write while the process was held up; so it is renewed once.
+// writeMessages writes a batch, counts its datagrams and returns whether the endpoint refused any.
+// It renews the deadline once, because the deadline may have passed before the write if the process
+// was not scheduled in time.
 func (l *Listener) writeMessages(socket *upstreamSocket, pending []ipv4.Message) (refused bool) {
 	segmenter := &socket.segmenter
 	messages := segmenter.join(pending)
 	mayRenew := true
 	for next := 0; next < len(messages); {
 		written, err := socket.packets.WriteBatch(messages[next:], 0)
-		for range written { // none if it is negative
+		for range written { // no iteration if written is negative
 			l.Counts.Forwarded.Add(int64(segmenter.datagramsIn(next)))
 			next++
 		}
@@ -138,12 +141,12 @@
 		}
 		datagrams := segmenter.datagramsIn(next)
 		if isRefused(err) {
-			refused = true // an ICMP error for an earlier write; this message would reach nobody either
-		} else if datagrams > 1 { // the route can't segment, it seems
+			refused = true // an ICMP error for an earlier write; this message is dropped as well
+		} else if datagrams > 1 { // the route probably does not support segmentation
 			messages, next = segmenter.splitFrom(next), 0
 			continue
 		}
-		l.Counts.Unsent.Add(int64(datagrams)) // or too large, or no buffers: only this message is lost
+		l.Counts.Unsent.Add(int64(datagrams)) // too large, no buffer space or refused: drop only this message
 		next++
 	}
 	return refused
--- a/internal/udp/sharedsocket_test.go
+++ b/internal/udp/sharedsocket_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Over shared sockets a reply reaches a client only while its flow is bound to the endpoint
-// that sends it, and without a header nobody.
+// A reply over a shared socket reaches a client only while the client's flow is bound to the
+// endpoint that sends the reply. A reply without a header is dropped.
 func TestSharedSocketDropsUnmatchedReplies(t *testing.T) {
 	listener, dispatcher, endpoints := startListener(t, withSharedSockets)
 	one, two := dial(t, listener), dial(t, listener)
@@ -20,7 +20,9 @@
 	socketAddresses := listener.sharedSocketAddresses()
 	sendRaw := func(endpointID string, datagram []byte) {
 		t.Helper()
-		if _, err := endpoints.conns[endpointID].WriteToUDPAddrPort(datagram, socketAddresses[endpointID]); err != nil {
+		if _, err := endpoints.conns[endpointID].WriteToUDPAddrPort(
+			datagram, socketAddresses[endpointID],
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -52,22 +54,22 @@
 	expectUnmatched(5)
 
 	endpoints.setDraining("a")
-	one.send("2") // is placed at b
+	one.send("2") // the flow is placed again, at b
 	one.expect("b:2")
 	if n := unmatched.Load(); n != 5 {
-		t.Errorf("%d unmatched replies", n)
+		t.Errorf("%d unmatched replies, want 5", n)
 	}
 	if open := listener.sharedSocketAddresses(); len(open) != 1 {
-		t.Errorf("sockets to %v", open)
+		t.Errorf("sockets to %v, want one endpoint", open)
 	}
 }
 
-// Many flows share one socket, and a batch arrives whole and in order. A datagram that is too
-// large with its header is lost alone.
+// Many flows share one socket, and all datagrams of a batch arrive in order. A datagram that exceeds
+// the maximum size with its header is dropped without affecting others.
 func TestSharedSocketWritesBatchesInOrder(t *testing.T) {
 	const (
 		perClient = 5
-		burst     = 20 // clients; the sockets' buffers hold some 200 datagrams
+		burst     = 20 // clients; the sockets' buffers hold about 200 datagrams
 	)
 	listener, _, endpoints := startListener(t, withSharedSockets.and(func(options *Options) {
 		options.Sockets = 2
@@ -83,7 +85,9 @@
 			clients[i].send(fmt.Sprintf("%d.%d", i, n))
 		}
 		if started := i + 1; started%burst == 0 {
-			eventually(t, "they arrive", func() bool { return endpoints.count("a") == perClient*started })
+			eventually(t, "the datagrams arrive", func() bool {
+				return endpoints.count("a") == perClient*started
+			})
 		}
 	}
 	clients[7].send(string(make([]byte, maxDatagramSize)))
@@ -96,19 +100,21 @@
 	clients[7].expect("a:after")
 	open, unsent := listener.sharedSocketAddresses(), listener.Counts.Unsent.Load()
 	if arrived := endpoints.count("a"); len(open) != 1 || unsent != 1 || arrived != 501 {
-		t.Errorf("sockets to %v, %d unsent, %d arrived", open, unsent, arrived)
+		t.Errorf("sockets to %v, %d datagrams unsent, %d arrived, want one endpoint, 1 and 501",
+			open, unsent, arrived)
 	}
 	checkBalance(t, &listener.Counts)
 }
 
-// A process that is held up between setting a write's deadline and the write loses no datagram: the socket has space.
-func TestHeldUpBeforeAWriteLosesNothing(t *testing.T) {
+// Guards against dropped datagrams when the write deadline passes before the write, because the
+// process was not scheduled in time, although the socket's buffer has space.
+func TestPassedWriteDeadlineLosesNoDatagram(t *testing.T) {
 	listener, _, _ := startListener(t, withSharedSockets)
 	client := dial(t, listener)
 	client.send("1")
 	client.expect("a:1")
 	listener.mu.Lock()
-	for _, socket := range listener.sharedSockets { // as it is after a hold-up
+	for _, socket := range listener.sharedSockets { // simulates a deadline that passed before the write
 		socket.writeDeadline = time.Now().Add(time.Hour)
 		_ = socket.conn.SetWriteDeadline(time.Now().Add(-time.Millisecond))
 	}
--- a/internal/udp/socket.go
+++ b/internal/udp/socket.go
@@ -10,29 +10,31 @@
 	"golang.org/x/net/ipv4"
 )
 
-var errTooManySockets = errors.New("udp.sockets are used up")
+var errTooManySockets = errors.New("limit of upstream sockets reached (udp.sockets)")
 
-// upstreamSocket is a socket to an endpoint: a flow's own, or one that its flows there share.
-// Its fields are under the listener's lock, but for endpointID, conn and packets, which don't change.
+// upstreamSocket is a socket that is connected to an endpoint. It belongs to one flow or, in shared
+// mode, to all of the listener's flows at the endpoint. The listener's mutex protects all fields
+// except endpointID, conn and packets, which are constant.
 type upstreamSocket struct {
 	endpointID string
 	conn       *net.UDPConn
-	packets    *ipv4.PacketConn // conn, for batches; nil unless it is shared
+	packets    *ipv4.PacketConn // batch I/O on conn; nil unless the socket is shared
 	health     *endpointHealth
 	boundFlows int
 
-	// Of shared sockets:
-	canSend       bool      // the endpoint's at canSendAt
-	canSendAt     time.Time // the batch that canSend was asked for
+	// For shared sockets only:
+	canSend       bool      // result of Endpoints.CanSend at canSendAt
+	canSendAt     time.Time // time of the batch for which canSend was determined
 	writeDeadline time.Time
-	pending       []ipv4.Message // datagrams of the batch under way, in its read buffers
+	pending       []ipv4.Message // datagrams of the current batch, in its read buffers
 	headers       [][maxProxyHeaderLen]byte
 	segmenter     segmenter
-	flushPending  bool // it is in Listener.unflushed
+	flushPending  bool // the socket is in Listener.unflushed
 }
 
-// acquireSocket returns a socket to an endpoint for one more flow, and whether it was opened
-// for it. It returns errTooManySockets or the error of the address or of the new socket.
+// acquireSocket returns a socket to an endpoint for one more flow, and whether it opened the
+// socket for this flow. It fails with errTooManySockets, or with the error from parsing the
+// endpoint's address or from opening the socket.
 func (l *Listener) acquireSocket(endpointID string) (socket *upstreamSocket, opened bool, err error) {
 	if shared := l.sharedSockets[endpointID]; shared != nil {
 		shared.boundFlows++
@@ -71,14 +73,14 @@
 	l.sharedSockets[socket.endpointID] = socket
 }
 
-// releaseSocket ends one flow's use of a socket, which is closed with the last.
+// releaseSocket ends one flow's use of a socket and closes the socket after its last flow.
 func (l *Listener) releaseSocket(socket *upstreamSocket) {
 	socket.health.boundFlows--
 	socket.boundFlows--
 	if socket.boundFlows > 0 {
 		return
 	}
-	l.writePending(socket) // datagrams of the flow that leaves
+	l.writePending(socket) // pending datagrams of the released flow
 	_ = socket.conn.Close()
 	l.openSockets--
 	if l.sharedSockets[socket.endpointID] == socket {
@@ -86,8 +88,8 @@
 	}
 }
 
-// canSend reports whether a flow's endpoint may still be sent to. Of shared sockets it is asked
-// once for each batch.
+// canSend reports whether datagrams may still be sent to a flow's endpoint. For a shared socket it
+// calls Endpoints.CanSend once per batch.
 func (l *Listener) canSend(target *placement, now time.Time) bool {
 	if !l.options.SharedSockets {
 		return l.endpoints.CanSend(target.endpointID, now)
--- a/internal/udp/sourceports.go
+++ b/internal/udp/sourceports.go
@@ -11,27 +11,28 @@
 	"syscall"
 )
 
-// The range of source ports where the machine does not say.
+// The default range of source ports, used if the machine's range can't be read.
 const (
 	defaultFirstPort = 32768
 	defaultPortCount = 28232
 )
 
-// maxPortAttempts bounds how many ports in a row may be in use by others.
+// maxPortAttempts is the number of consecutive ports that dial tries.
 const maxPortAttempts = 256
 
 var errNoFreePort = errors.New("no free port")
 
-// sourcePorts are the source ports of upstream sockets, used in turn: a released port is used
-// again only after all others. The kernel draws ports at random; the next flow to the same
-// endpoint might get the port of one that has just expired, and with it that one's late replies.
+// sourcePorts allocates the source ports of upstream sockets in rotation, so that a released port
+// is reused only after all others. The kernel would choose ports at random: the next flow to the
+// same endpoint might get the port of a flow that has just expired, and receive its late replies.
 type sourcePorts struct {
 	first int
 	count int
 	next  int // offset from first
 }
 
-// newSourcePorts takes one of several equal parts of the machine's range of local ports.
+// newSourcePorts returns one of several equal parts of the machine's range of local ports,
+// starting at a random port.
 func newSourcePorts(part, parts int) sourcePorts {
 	ports := localPortRange()
 	ports.first += ports.count * part / parts
@@ -40,22 +41,23 @@
 	return ports
 }
 
+// localPortRange returns the machine's range of local ports, or the default range.
 func localPortRange() sourcePorts {
-	byDefault := sourcePorts{first: defaultFirstPort, count: defaultPortCount}
+	defaultRange := sourcePorts{first: defaultFirstPort, count: defaultPortCount}
 	raw, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		return byDefault
+		return defaultRange
 	}
 	var first, last int
 	scanned, _ := fmt.Sscan(string(raw), &first, &last)
 	if scanned != 2 || first <= 0 || first > last || last > math.MaxUint16 {
-		return byDefault
+		return defaultRange
 	}
 	return sourcePorts{first: first, count: last - first + 1}
 }
 
-// dial connects to an address from the next free port. It returns errNoFreePort after
-// maxPortAttempts ports that are in use.
+// dial opens a socket that is connected to an address, from the next free port. It returns
+// errNoFreePort if maxPortAttempts consecutive ports are in use.
 func (p *sourcePorts) dial(to netip.AddrPort) (*net.UDPConn, error) {
 	for range min(maxPortAttempts, p.count) {
 		from := net.UDPAddr{Port: p.first + p.next}
