--- a/internal/udp/fakes_test.go
+++ b/internal/udp/fakes_test.go
@@ -172,7 +172,7 @@
 	return !e.draining[endpointID]
 }
 
-func (e *fakeEndpoints) MayBegin(endpointID string, now time.Time) bool {
+func (e *fakeEndpoints) CanBindFlow(endpointID string, now time.Time) bool {
 	return e.CanSend(endpointID, now) && !e.listExpired.Load()
 }
 
--- a/internal/udp/options.go
+++ b/internal/udp/options.go
@@ -26,9 +26,9 @@
 	// CanSend reports whether datagrams may still be sent to an endpoint. It returns false from a
 	// safety margin before the end of the endpoint's drain grace.
 	CanSend(endpointID string, now time.Time) bool
-	// MayBegin reports whether a new flow may be bound to an endpoint: CanSend must hold, and the
+	// CanBindFlow reports whether a new flow may be bound to an endpoint: CanSend must hold, and the
 	// lease of the list that names the endpoint must be valid.
-	MayBegin(endpointID string, now time.Time) bool
+	CanBindFlow(endpointID string, now time.Time) bool
 	// IsDraining reports whether an endpoint drains or was removed.
 	IsDraining(endpointID string, now time.Time) bool
 	// IsResponsive reports whether an endpoint answered its last probe. It returns true before the
--- a/internal/udp/placement.go
+++ b/internal/udp/placement.go
@@ -133,7 +133,7 @@
 func (l *Listener) establish(starting *placement, endpointID string, now time.Time) balance.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if starting.ended || l.closed || !l.endpoints.MayBegin(endpointID, now) {
+	if starting.ended || l.closed || !l.endpoints.CanBindFlow(endpointID, now) {
 		return balance.NotSent
 	}
 	socket, opened, err := l.acquireSocket(endpointID)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -156,9 +156,9 @@
 	return endpoint != nil && endpoint.acceptsTraffic(now, p.sendGrace())
 }
 
-// MayBegin reports whether a new flow may be bound to an endpoint: CanSend must hold, and the lease
-// of the list that names the endpoint must be valid.
-func (p *Pool) MayBegin(server string, now time.Time) bool {
+// CanBindFlow reports whether a new flow may be bound to an endpoint: CanSend must hold, and the
+// lease of the list that names the endpoint must be valid.
+func (p *Pool) CanBindFlow(server string, now time.Time) bool {
 	return p.CanSend(server, now) && p.listStatus().IsValid(now)
 }
 
