--- a/internal/flowtable/expiry.go
+++ b/internal/flowtable/expiry.go
@@ -97,7 +97,7 @@
 			if expiryTick == tick {
 				return i
 			}
-			if expiryTick%wheelSlots != tick%wheelSlots { // equal: due in a later turn of the wheel
+			if expiryTick%wheelSlots != tick%wheelSlots { // if equal, due in a later turn of the wheel
 				t.unschedule(i)
 				t.schedule(i)
 			}
--- a/internal/udp/replies.go
+++ b/internal/udp/replies.go
@@ -58,9 +58,9 @@
 	return l.bindings[current.ref.Index].client
 }
 
-// pauseAfterReadError counts a read error and sleeps for readErrorPause, so that a
-// persistent error does not cause a busy loop. It does neither if the endpoint refused a datagram
-// or the socket is closed.
+// pauseAfterReadError counts a read error and sleeps for readErrorPause, so that a persistent
+// error does not cause a busy loop. It does neither if the endpoint refused a datagram or the
+// socket is closed.
 func (l *Listener) pauseAfterReadError(err error) {
 	if !isRefused(err) && !errors.Is(err, net.ErrClosed) {
 		l.Counts.ReadErrors.Add(1)
