--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -15,9 +15,9 @@
 type NodePicker interface {
 	// Pick draws a node and returns its name and address.
 	Pick(rng *rand.Rand) (node, addr string)
-	// Gone reports whether a node was killed, or is ending, since a time: a request that it
+	// StoppedSince reports whether a node was killed, or is ending, since a time: a request that it
 	// accepted then may be lost.
-	Gone(node string, since time.Time) bool
+	StoppedSince(node string, since time.Time) bool
 }
 
 // ClientObserver is notified of what clients see.
--- a/internal/fake/client_connection.go
+++ b/internal/fake/client_connection.go
@@ -86,7 +86,7 @@
 		return "", false
 	}
 	if err != nil {
-		if !c.Nodes.Gone(c.node, c.openedAt) {
+		if !c.Nodes.StoppedSince(c.node, c.openedAt) {
 			c.violation(ruleOneAnswer, "no answer after %v: %q, %v", took, answer, err)
 		}
 		return "", false
--- a/internal/fake/client_stream.go
+++ b/internal/fake/client_stream.go
@@ -45,7 +45,7 @@
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			if hasStream && !s.hasBegun && ctx.Err() == nil && isTimeout(err) &&
-				!c.Nodes.Gone(c.node, time.Now().Add(-streamStartTimeout)) {
+				!c.Nodes.StoppedSince(c.node, time.Now().Add(-streamStartTimeout)) {
 				c.violation(ruleSilence, "UP, and then no stream")
 			}
 			return ""
--- a/internal/fake/crowd.go
+++ b/internal/fake/crowd.go
@@ -14,9 +14,9 @@
 	crowdServedShare, crowdRejectedShare = 1.0 / 3, 1.0 / 3
 )
 
-// SetCrowded has discovery be kept busy by other callers from now on, or no longer. Watches that stand go on; calls
+// SetOverloaded has discovery be kept busy by other callers from now on, or no longer. Watches that stand go on; calls
 // wait for their turn, and most in vain, or find no place in the queue.
-func (d *Discovery) SetCrowded(isCrowded bool) { d.isCrowded.Store(isCrowded) }
+func (d *Discovery) SetOverloaded(isCrowded bool) { d.isCrowded.Store(isCrowded) }
 
 // awaitTurn waits for a call's turn. It returns false if the call has no turn: it was answered, or its client has gone.
 func (d *Discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -63,7 +63,7 @@
 	changed    chan struct{}                   // closed at the next change
 	notifiedAt map[string]map[string]time.Time // by node and server: when it was notified that it leaves
 	writes     map[string][]Write              // by node
-	troubles   map[string]Trouble              // by node
+	troubles   map[string]DiscoveryFault       // by node
 	servers    []*http.Server
 
 	isCrowded atomic.Bool
@@ -77,7 +77,7 @@
 		changed:    make(chan struct{}),
 		notifiedAt: map[string]map[string]time.Time{},
 		writes:     map[string][]Write{},
-		troubles:   map[string]Trouble{},
+		troubles:   map[string]DiscoveryFault{},
 	}
 }
 
@@ -176,7 +176,7 @@
 	flusher, _ := w.(http.Flusher)
 	w.Header().Set("Content-Type", "application/json")
 	for first := true; ; first = false {
-		if trouble := d.trouble(node); trouble != NoTrouble {
+		if trouble := d.trouble(node); trouble != NoDiscoveryFault {
 			if first || trouble == Down {
 				serveInTrouble(trouble, w, r)
 				return
--- a/internal/fake/trouble.go
+++ b/internal/fake/trouble.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Trouble is how discovery treats the calls of a node.
-type Trouble int
+// DiscoveryFault is how discovery treats the calls of a node.
+type DiscoveryFault int
 
-// The forms of trouble. In all but NoTrouble and Down the watches that stand fall silent.
+// The forms of trouble. In all but NoDiscoveryFault and Down the watches that stand fall silent.
 const (
-	NoTrouble       Trouble = iota
-	Unanswered              // calls are accepted and never answered
-	LateUnavailable         // calls are answered 503 after lateUnavailable
-	HeaderOnly              // a header comes, and nothing else
-	HalfList                // a header and the beginning of a list come, and nothing else
-	SpoiltList              // a list comes that is none
-	Down                    // watches end, and calls are reset
+	NoDiscoveryFault DiscoveryFault = iota
+	Unanswered                      // calls are accepted and never answered
+	LateUnavailable                 // calls are answered 503 after lateUnavailable
+	HeaderOnly                      // a header comes, and nothing else
+	TruncatedList                   // a header and the beginning of a list come, and nothing else
+	MalformedList                   // a list comes that is none
+	Down                            // watches end, and calls are reset
 )
 
 const (
@@ -24,8 +24,8 @@
 	lateUnavailable = 1500 * time.Millisecond
 )
 
-// SetTrouble has discovery treat the calls of a node in a way from now on.
-func (d *Discovery) SetTrouble(node string, trouble Trouble) {
+// SetFault has discovery treat the calls of a node in a way from now on.
+func (d *Discovery) SetFault(node string, trouble DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.troubles[node] = trouble
@@ -33,14 +33,14 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) trouble(node string) Trouble {
+func (d *Discovery) trouble(node string) DiscoveryFault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.troubles[node]
 }
 
 // serveInTrouble treats a call while its node's calls are in trouble. It returns when the client has gone.
-func serveInTrouble(trouble Trouble, w http.ResponseWriter, r *http.Request) {
+func serveInTrouble(trouble DiscoveryFault, w http.ResponseWriter, r *http.Request) {
 	switch trouble {
 	case Down:
 		panic(http.ErrAbortHandler) // resets the connection
@@ -53,9 +53,9 @@
 		return
 	case HeaderOnly:
 		writeAndFlush(w, "")
-	case HalfList:
+	case TruncatedList:
 		writeAndFlush(w, `{"generation":1,"reset":true,"instances":[{"inst`)
-	case SpoiltList:
+	case MalformedList:
 		writeAndFlush(w, `{"generation":1,"reset":true}`+"\n")
 	}
 	<-r.Context().Done()
--- a/internal/scenario/faultproxy/direction.go
+++ b/internal/scenario/faultproxy/direction.go
@@ -70,7 +70,7 @@
 			if isReset && n == 0 {
 				return false
 			}
-			if !sendChunk(ctx, chunks, dueAt, buffer[:n], fault.Pieces) || isReset {
+			if !sendChunk(ctx, chunks, dueAt, buffer[:n], fault.ByteByByte) || isReset {
 				return false
 			}
 		}
--- a/internal/scenario/faultproxy/fault.go
+++ b/internal/scenario/faultproxy/fault.go
@@ -8,25 +8,25 @@
 
 // Fault is what happens to what one party sends to another. Its zero value is no fault.
 type Fault struct {
-	Cut       bool          // nothing arrives, and no error is reported
-	Delay     time.Duration // everything is late by this much
-	Jitter    time.Duration // and by up to this much more: datagrams may be reordered
-	Drop      float64       // the share of datagrams that is lost; a stream is delayed instead, as by a retransmit
-	Duplicate float64       // the share of datagrams that arrives twice
-	ResetAt   int           // a stream is reset after so many bytes; 0 for never
-	Pieces    bool          // a stream arrives byte by byte
+	Cut        bool          // nothing arrives, and no error is reported
+	Delay      time.Duration // everything is late by this much
+	Jitter     time.Duration // and by up to this much more: datagrams may be reordered
+	Drop       float64       // the share of datagrams that is lost; a stream is delayed instead, as by a retransmit
+	Duplicate  float64       // the share of datagrams that arrives twice
+	ResetAt    int           // a stream is reset after so many bytes; 0 for never
+	ByteByByte bool          // a stream arrives byte by byte
 }
 
 // combine returns the fault where two faults apply.
 func (f Fault) combine(g Fault) Fault {
 	return Fault{
-		Cut:       f.Cut || g.Cut,
-		Delay:     f.Delay + g.Delay,
-		Jitter:    f.Jitter + g.Jitter,
-		Drop:      max(f.Drop, g.Drop),
-		Duplicate: max(f.Duplicate, g.Duplicate),
-		ResetAt:   max(f.ResetAt, g.ResetAt),
-		Pieces:    f.Pieces || g.Pieces,
+		Cut:        f.Cut || g.Cut,
+		Delay:      f.Delay + g.Delay,
+		Jitter:     f.Jitter + g.Jitter,
+		Drop:       max(f.Drop, g.Drop),
+		Duplicate:  max(f.Duplicate, g.Duplicate),
+		ResetAt:    max(f.ResetAt, g.ResetAt),
+		ByteByByte: f.ByteByByte || g.ByteByByte,
 	}
 }
 
--- a/internal/scenario/fleet/slowstart.go
+++ b/internal/scenario/fleet/slowstart.go
@@ -47,11 +47,11 @@
 	peak, _ := r.BudgetUse("cold", startedAt, time.Now())
 	epochPeak := r.EpochBudgetUse("cold", startedAt)
 	r.SetMetric("cold_epoch_of_deal", epochPeak)
-	r.checkAgents(epochPeak <= testbed.ChanceAllowance, "deal",
+	r.checkAgents(epochPeak <= testbed.BudgetTolerance, "deal",
 		"within one epoch a cold server was sent %.2f times what all may deal", epochPeak)
 	r.Leave("cold")
 	r.SetMetric("cold_most_of_budget", peak)
-	r.checkAgents(peak <= testbed.ChanceAllowance, "cold",
+	r.checkAgents(peak <= testbed.BudgetTolerance, "cold",
 		"a cold server was sent %.2f times its budget within %v", peak, budgetWindow)
 	r.RequireAtLeast("cold_most_of_budget", 0.2) // else nobody tried
 	return nil
@@ -88,7 +88,7 @@
 	r.Leave("late")
 	r.SetMetric("late_most_of_budget", peak)
 	r.SetMetric("late_mean_of_budget", mean)
-	r.checkAgents(peak <= testbed.ChanceAllowance, "cold",
+	r.checkAgents(peak <= testbed.BudgetTolerance, "cold",
 		"after a fall, a cold server was sent %.2f times its budget within %v", peak, budgetWindow)
 	r.checkAgents(mean >= minBudgetUse, "use",
 		"those who are left send a cold server %.2f of its budget, want %.2f at least", mean, minBudgetUse)
--- a/internal/scenario/soak/discoveryfaults.go
+++ b/internal/scenario/soak/discoveryfaults.go
@@ -7,7 +7,7 @@
 )
 
 // starvations are the forms in which no call of discovery brings a list.
-var starvations = []fake.Trouble{fake.Unanswered, fake.LateUnavailable, fake.HeaderOnly, fake.HalfList, fake.SpoiltList}
+var starvations = []fake.DiscoveryFault{fake.Unanswered, fake.LateUnavailable, fake.HeaderOnly, fake.TruncatedList, fake.MalformedList}
 
 // playDiscoveryFault plays a fault of discovery itself. Where two meet at a node, the later one counts, and its end is
 // the end of both.
@@ -21,11 +21,11 @@
 		_ = r.proxy.SetDown("discovery", true)
 	}
 	for _, number := range nodes {
-		r.discovery.SetTrouble(nodeName(number), trouble)
+		r.discovery.SetFault(nodeName(number), trouble)
 	}
 	r.awaitEnd(ctx, fault)
 	for _, number := range nodes {
-		r.discovery.SetTrouble(nodeName(number), fake.NoTrouble)
+		r.discovery.SetFault(nodeName(number), fake.NoDiscoveryFault)
 	}
 	if fault.Kind == discoveryDown {
 		_ = r.proxy.SetDown("discovery", false)
--- a/internal/scenario/soak/faults.go
+++ b/internal/scenario/soak/faults.go
@@ -49,9 +49,9 @@
 	case fault.Kind == clientsIdle:
 		return r.playIdleCrowd(ctx, fault)
 	case fault.Kind == discoveryCrowded:
-		r.discovery.SetCrowded(true)
+		r.discovery.SetOverloaded(true)
 		r.awaitEnd(ctx, fault)
-		r.discovery.SetCrowded(false)
+		r.discovery.SetOverloaded(false)
 	case strings.HasPrefix(kind, "clients_"): // clients look at the trace themselves
 		return r.awaitEnd(ctx, fault)
 	default:
@@ -196,8 +196,8 @@
 	case linkOneWay:
 		r.proxy.SetOneWay(far, near, faultproxy.Fault{Cut: true})
 	case linkPieces:
-		r.proxy.SetBetween(near, far, faultproxy.Fault{Pieces: true})
-		r.proxy.SetBetween([]string{"clients"}, near, faultproxy.Fault{Pieces: true})
+		r.proxy.SetBetween(near, far, faultproxy.Fault{ByteByByte: true})
+		r.proxy.SetBetween([]string{"clients"}, near, faultproxy.Fault{ByteByByte: true})
 	case discoveryRefuses:
 		r.proxy.SetBetween(near, far, faultproxy.Fault{ResetAt: 1})
 	case discoveryDown, discoveryStarves:
--- a/internal/scenario/testbed/budget.go
+++ b/internal/scenario/testbed/budget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ChanceAllowance is the multiple of its budget that a window may have: starts and ends of
+// BudgetTolerance is the multiple of its budget that a window may have: starts and ends of
 // tokens are seen on two clocks' schedules, and a session counts when it arrives.
-const ChanceAllowance = 1.1
+const BudgetTolerance = 1.1
 
 // windowBudget returns how many sessions a server may be sent within a window, so long after its
 // start. A warm one can take what fills it: its usual share makes the usual load.
--- a/internal/scenario/testbed/clients.go
+++ b/internal/scenario/testbed/clients.go
@@ -64,7 +64,7 @@
 
 // runTransaction is one client: it has to get one final answer in time, and stays for a moment.
 func (bed *Testbed) runTransaction(ctx context.Context, id int, node, addr string, returning bool) {
-	line := fmt.Sprintf("OPEN %016x k%x c=feed,d=%d", id+1, id, Patience.Milliseconds())
+	line := fmt.Sprintf("OPEN %016x k%x c=feed,d=%d", id+1, id, AnswerTimeout.Milliseconds())
 	if returning {
 		line += ",again=1"
 	}
@@ -77,7 +77,7 @@
 	case ctx.Err() != nil || errors.Is(err, ErrUnreachable):
 		return
 	case err != nil:
-		if !bed.Nodes.Gone(node, startedAt) {
+		if !bed.Nodes.StoppedSince(node, startedAt) {
 			bed.AddViolation("answer", fmt.Sprintf("k%x at %s got no final answer: %v", id, node, err))
 		}
 		return
@@ -92,7 +92,7 @@
 	})
 	bed.mu.Unlock()
 	bed.AddMetric(strings.ToLower(session.Reply), 1)
-	if session.Took > Patience+SocketDelay {
+	if session.Took > AnswerTimeout+SocketDelay {
 		bed.AddViolation("answer", fmt.Sprintf("k%x at %s was answered after %v", id, node, session.Took))
 	}
 	if session.Reply == "UP" {
--- a/internal/scenario/testbed/drain.go
+++ b/internal/scenario/testbed/drain.go
@@ -13,8 +13,8 @@
 	DrainGrace = 300 * time.Millisecond
 	// SocketDelay is by how much the rules' times are longer on sockets.
 	SocketDelay = 50 * time.Millisecond
-	// Patience is how long a client waits for its final answer.
-	Patience = 1800 * time.Millisecond
+	// AnswerTimeout is how long a client waits for its final answer.
+	AnswerTimeout = 1800 * time.Millisecond
 )
 
 // CheckDrain holds what a server got from a node to the drain rule: nothing new later than the
--- a/internal/scenario/testbed/nodes.go
+++ b/internal/scenario/testbed/nodes.go
@@ -29,8 +29,8 @@
 	return n.goneSince.IsZero() || at.Before(n.goneSince)
 }
 
-// Gone reports whether a node is killed or told to end, or was since a time.
-func (ns Nodes) Gone(name string, since time.Time) bool {
+// StoppedSince reports whether a node is killed or told to end, or was since a time.
+func (ns Nodes) StoppedSince(name string, since time.Time) bool {
 	for _, node := range ns {
 		if node.Name == name {
 			node.mu.Lock()
--- a/internal/scenario/testbed/session.go
+++ b/internal/scenario/testbed/session.go
@@ -44,7 +44,7 @@
 		stop()
 		_ = conn.Close()
 	}}
-	_ = conn.SetDeadline(startedAt.Add(Patience + lateAnswer))
+	_ = conn.SetDeadline(startedAt.Add(AnswerTimeout + lateAnswer))
 	_, _ = fmt.Fprintf(conn, "%s\r\n", line) // a failure shows as the answer that does not come
 	text, err := bufio.NewReader(conn).ReadString('\n')
 	session.Took = time.Since(startedAt)
--- a/internal/scenario/zones/server_faults.go
+++ b/internal/scenario/zones/server_faults.go
@@ -57,7 +57,7 @@
 		most = max(most, x)
 	}
 	s.SetMetric("cold_most_of_budget", most)
-	if most > testbed.ChanceAllowance {
+	if most > testbed.BudgetTolerance {
 		s.violationf("cold", "a cold server was sent %.2f times its budget within %v", most, budgetWindow)
 	}
 	s.RequireAtLeast("cold_most_of_budget", 0.02) // else no traffic returned
