--- a/internal/scenario/demo/demo.go
+++ b/internal/scenario/demo/demo.go
@@ -121,7 +121,7 @@
 			Key:               fmt.Sprintf("k%d", i),
 			Group:             fmt.Sprintf("g%d", i%10),
 			Class:             "feed",
-			AnswerTimeout:     testbed.AnswerTimeout,
+			AnswerTimeout:     testbed.FinalAnswerTimeout,
 			Nodes:             testbed.Nodes{d.node},
 			Observer:          d.observer,
 			WithoutResumption: true,
--- a/internal/scenario/objectives/clients.go
+++ b/internal/scenario/objectives/clients.go
@@ -50,7 +50,7 @@
 // runClient is one client of a tenant: it has to get a final answer, and stays for a while.
 func (r *run) runClient(ctx context.Context, id int, tenant, node, addr string) {
 	line := fmt.Sprintf("OPEN %016x %s-%x c=feed,d=%d,realm=%s",
-		1<<40+id, tenant, id, testbed.AnswerTimeout.Milliseconds(), tenant)
+		1<<40+id, tenant, id, testbed.FinalAnswerTimeout.Milliseconds(), tenant)
 	session, err := testbed.OpenSession(ctx, addr, line)
 	if err == nil {
 		defer session.Close()
--- a/internal/scenario/objectives/metrics.go
+++ b/internal/scenario/objectives/metrics.go
@@ -44,7 +44,7 @@
 	if !ok {
 		return
 	}
-	from, until := played.from, played.until.Add(-testbed.AnswerTimeout)
+	from, until := played.from, played.until.Add(-testbed.FinalAnswerTimeout)
 	r.recordKept(from, until)
 	moved := 0.0
 	for _, change := range r.changesBetween(from, until) {
--- a/internal/scenario/resume/play.go
+++ b/internal/scenario/resume/play.go
@@ -64,7 +64,7 @@
 			Key:               fmt.Sprintf("k%d", i),
 			Group:             fmt.Sprintf("g%d", i%max(4, r.Clients/8)),
 			Class:             "feed",
-			AnswerTimeout:     testbed.AnswerTimeout,
+			AnswerTimeout:     testbed.FinalAnswerTimeout,
 			Nodes:             r.nodes,
 			Observer:          r,
 			DuplicateShare:    0.1,
--- a/internal/scenario/resume/tokens.go
+++ b/internal/scenario/resume/tokens.go
@@ -55,7 +55,7 @@
 			r.AddMetric("spoiled", 1)
 		}
 		wg.Go(func() {
-			fake.PresentToken(ctx, r.nodes, attempt, token.key, token.group, "feed", token.token, testbed.AnswerTimeout)
+			fake.PresentToken(ctx, r.nodes, attempt, token.key, token.group, "feed", token.token, testbed.FinalAnswerTimeout)
 		})
 	}
 }
--- a/internal/scenario/testbed/agent.go
+++ b/internal/scenario/testbed/agent.go
@@ -12,16 +12,17 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// Agent is a member of the fleet: the process beside one node.
+// Agent is a fleet member: the agent process that runs beside one node.
 type Agent struct {
 	*Process
-	Addr string // where it answers its node and operators
+	Addr string // on which the agent serves its node and operators
 }
 
-// Call sends a request as an operator does and decodes the answer into a pointer.
+// Call sends a request to the agent's operator interface and decodes the answer into the value that
+// answer points to.
 func (a *Agent) Call(request, answer any) error { return agentapi.Call(a.Addr, request, answer) }
 
-// newAgent returns the agent beside a node; it is not started yet.
+// newAgent returns the agent of a node without starting it.
 func (bed *Testbed) newAgent(node *Node, config *operatorconfig.File) *Agent {
 	process := &Process{
 		Name:   "agent " + node.Name,
@@ -37,8 +38,8 @@
 	return &Agent{Process: process, Addr: config.Fleet.AgentAddr}
 }
 
-// newMemberConfig returns what one member's file says, and opens its addresses at the proxy. The
-// first members are added to the voters.
+// newMemberConfig returns the operator configuration of one member and opens the member's addresses
+// at the proxy. The first bed.Voters members become voters of the replicated log.
 func (bed *Testbed) newMemberConfig(name string, number int) (operatorconfig.File, error) {
 	config := operatorconfig.Default()
 	config.Log.Level = "warn"
@@ -57,7 +58,8 @@
 	return config, bed.configureLog(&config, name, number)
 }
 
-// configureLog sets what a member's file says of the replicated log.
+// configureLog sets the replicated log section of a member's configuration, and registers the member
+// as a voter if its number is below bed.Voters.
 func (bed *Testbed) configureLog(config *operatorconfig.File, name string, number int) error {
 	zone := bed.Zone(name)
 	bind, advertise, err := bed.AddProxiedAddress(name, number+1)
@@ -75,9 +77,9 @@
 	return os.MkdirAll(config.Fleet.ReplicatedLog.Dir, 0o700)
 }
 
-// AddProxiedAddress opens an address at the proxy for a party that speaks from a loopback
-// address of its own, which the number tells: 1 to 250. The party listens at bind and is reached
-// at advertise.
+// AddProxiedAddress opens an address at the proxy for a party that sends from a loopback address of
+// its own. The number is the last byte of that address and must be in the range 1 to 250. The party
+// must listen on bind; the other parties reach it at advertise.
 func (bed *Testbed) AddProxiedAddress(name string, number int) (bind, advertise string, err error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.0.5.%d:0", number))
 	if err != nil {
@@ -89,10 +91,10 @@
 	return bind, advertise, err
 }
 
-// Peers returns the addresses at which members reach one another's gossip.
+// Peers returns the gossip addresses that the members advertise.
 func (bed *Testbed) Peers() []string { return bed.gossipAddresses }
 
-// KillMachine kills a node with its agent, as on a machine that is lost.
+// KillMachine kills a node and its agent, which simulates the loss of their machine.
 func (bed *Testbed) KillMachine(name string) {
 	for _, node := range bed.Nodes {
 		if node.Name == name {
@@ -104,7 +106,7 @@
 	}
 }
 
-// RestartMachine starts an agent and its node again.
+// RestartMachine starts the agent and the node of a killed machine again.
 func (bed *Testbed) RestartMachine(ctx context.Context, name string) error {
 	if agent := bed.Agents[name]; agent != nil {
 		if err := agent.Start(); err != nil {
--- a/internal/scenario/testbed/budget.go
+++ b/internal/scenario/testbed/budget.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// BudgetTolerance is the multiple of its budget that a window may have: starts and ends of
-// tokens are seen on two clocks' schedules, and a session counts when it arrives.
+// BudgetTolerance is the multiple of its budget that a server may be sent in a window. It exceeds 1
+// because the start and end of budget tokens are timed on two clocks, and because a session is
+// counted when it arrives at the server.
 const BudgetTolerance = 1.1
 
-// windowBudget returns how many sessions a server may be sent within a window, so long after its
-// start. A warm one can take what fills it: its usual share makes the usual load.
+// windowBudget returns how many sessions a server of the given age may be sent within a budget
+// window. The capacity of a warm server follows from UsualLoad: its usual share of the usual rate
+// loads it to that level.
 func (bed *Testbed) windowBudget(age time.Duration) float64 {
 	usualRate := bed.Rate / float64(bed.Options.Servers)
 	return budgetMultiple * bed.warmShare(age) * usualRate / UsualLoad * bed.BudgetWindow.Seconds()
 }
 
-// BudgetUse returns the most that a server that began cold was sent in any window of its ramp,
-// as a multiple of its budget, and the mean over the time.
+// BudgetUse returns how many sessions a server that started cold was sent, as multiples of its
+// budget: the peak over all windows of its ramp, and the mean from started until until.
 func (bed *Testbed) BudgetUse(server string, started, until time.Time) (peak, mean float64) {
 	var arrivals []time.Time
 	for _, line := range bed.FirstLines(started, until) {
@@ -22,7 +24,7 @@
 			arrivals = append(arrivals, line.At)
 		}
 	}
-	first := 0 // of the window that ends with an arrival
+	first := 0 // index of the first arrival in the window that ends with the current arrival
 	for i, arrival := range arrivals {
 		age := arrival.Sub(started)
 		if age > bed.Ramp {
@@ -40,8 +42,9 @@
 	return peak, mean
 }
 
-// EpochBudgetUse returns the most that a cold server was sent within one epoch, as a multiple of
-// what its members' quotas come to: half of its budget, and a token of the fraction.
+// EpochBudgetUse returns the maximum number of sessions that a cold server was sent within one epoch,
+// as a multiple of the sum of the members' quotas: half of the server's budget, plus one token for
+// the fraction.
 func (bed *Testbed) EpochBudgetUse(server string, started time.Time) (peak float64) {
 	window := int64(bed.BudgetWindow)
 	count := map[int64]float64{} // by epoch
@@ -51,7 +54,7 @@
 		}
 	}
 	for epoch, sent := range count {
-		age := time.Unix(0, (epoch+1)*window).Sub(started) // at the epoch's end
+		age := time.Unix(0, (epoch+1)*window).Sub(started) // at the end of the epoch
 		peak = max(peak, sent/(bed.windowBudget(age)/2+1))
 	}
 	return peak
--- a/internal/scenario/testbed/clients.go
+++ b/internal/scenario/testbed/clients.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// maxOpenTransactions bounds the transactions under way.
+	// maxOpenTransactions limits the transactions in progress at a time.
 	maxOpenTransactions = 2000
-	// stayDuration is how long a client stays that was served.
-	stayDuration = 150 * time.Millisecond
+	// sessionDuration is how long a served client keeps its session open.
+	sessionDuration = 150 * time.Millisecond
 )
 
-// SetRate sets the rate, in multiples of the usual: what is more than usual are clients that come
-// again.
+// SetRate sets the transaction rate as a multiple of the usual rate. Transactions beyond the usual
+// rate come from returning clients.
 func (bed *Testbed) SetRate(times float64) { bed.setRate(times, true) }
 
-// SetFirstVisitRate sets the rate likewise, of clients that all come for the first time.
+// SetFirstVisitRate sets the transaction rate as a multiple of the usual rate. All transactions come
+// from new clients.
 func (bed *Testbed) SetFirstVisitRate(times float64) { bed.setRate(times, false) }
 
-func (bed *Testbed) setRate(times float64, extraReturn bool) {
+func (bed *Testbed) setRate(times float64, extraReturning bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
-	bed.rate, bed.extraReturn = times*bed.Rate, extraReturn
+	bed.rate, bed.extraReturning = times*bed.Rate, extraReturning
 }
 
-// openTransactions opens transactions at the rate until ctx ends.
+// openTransactions opens transactions at the current rate until ctx ends.
 func (bed *Testbed) openTransactions(ctx context.Context, wg *sync.WaitGroup) {
 	rng := mrand.New(mrand.NewPCG(bed.Options.Seed, 12))
 	open := make(chan struct{}, maxOpenTransactions)
@@ -54,17 +55,18 @@
 	}
 }
 
-// drawClient returns the rate now, and whether the next client is one that comes again.
+// drawClient returns the current rate and draws whether the next client is a returning one.
 func (bed *Testbed) drawClient(rng *mrand.Rand) (rate float64, returning bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
-	returning = bed.extraReturn && bed.rate > bed.Rate && rng.Float64() > bed.Rate/bed.rate
+	returning = bed.extraReturning && bed.rate > bed.Rate && rng.Float64() > bed.Rate/bed.rate
 	return bed.rate, returning
 }
 
-// runTransaction is one client: it has to get one final answer in time, and stays for a moment.
+// runTransaction runs one client. The client must get a final answer within FinalAnswerTimeout; a served
+// client then keeps its session open for sessionDuration.
 func (bed *Testbed) runTransaction(ctx context.Context, id int, node, addr string, returning bool) {
-	line := fmt.Sprintf("OPEN %016x k%x c=feed,d=%d", id+1, id, AnswerTimeout.Milliseconds())
+	line := fmt.Sprintf("OPEN %016x k%x c=feed,d=%d", id+1, id, FinalAnswerTimeout.Milliseconds())
 	if returning {
 		line += ",again=1"
 	}
@@ -92,10 +94,10 @@
 	})
 	bed.mu.Unlock()
 	bed.AddMetric(strings.ToLower(session.Reply), 1)
-	if session.Took > AnswerTimeout+SocketDelay {
+	if session.Took > FinalAnswerTimeout+SocketDelay {
 		bed.AddViolation("answer", fmt.Sprintf("k%x at %s was answered after %v", id, node, session.Took))
 	}
 	if session.Reply == "UP" {
-		fake.Sleep(ctx, stayDuration)
+		fake.Sleep(ctx, sessionDuration)
 	}
 }
--- a/internal/scenario/testbed/drain.go
+++ b/internal/scenario/testbed/drain.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// DrainGrace is how long after it was told of a drain a node may send something new.
+	// DrainGrace is how long a node may still send new traffic to a server after it was notified that
+	// the server drains.
 	DrainGrace = 300 * time.Millisecond
-	// SocketDelay is by how much the rules' times are longer on sockets.
+	// SocketDelay is added to the time limits of the rules to allow for the latency of sockets.
 	SocketDelay = 50 * time.Millisecond
-	// AnswerTimeout is how long a client waits for its final answer.
-	AnswerTimeout = 1800 * time.Millisecond
+	// FinalAnswerTimeout is the time within which a client must get its final answer.
+	FinalAnswerTimeout = 1800 * time.Millisecond
 )
 
-// CheckDrain holds what a server got from a node to the drain rule: nothing new later than the
-// grace after that node was told.
+// CheckDrain checks the drain rule for something new that a server received from a node at a time. It
+// adds a violation if that was later than DrainGrace after the node was notified of the drain.
 func (r *Result) CheckDrain(discovery *fake.Discovery, node, server, what string, at time.Time) {
 	notifiedAt := discovery.NotifiedAt(node, server)
 	if late := at.Sub(notifiedAt); !notifiedAt.IsZero() && late > DrainGrace+SocketDelay {
@@ -26,8 +27,8 @@
 	}
 }
 
-// BounceServer ends a server as a killed one ends. Discovery notices after noticeDelay; after
-// restartDelay more the server is back at its address, cold and with a new epoch.
+// BounceServer kills a server and starts it again. Discovery removes the server noticeDelay after the
+// kill. After a further restartDelay the server runs on its old address, cold and with a new epoch.
 func (r *Result) BounceServer(ctx context.Context, discovery *fake.Discovery, server *fake.Server, nodes []string,
 	noticeDelay, restartDelay time.Duration) {
 	server.Kill()
--- a/internal/scenario/testbed/mutation.go
+++ b/internal/scenario/testbed/mutation.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// CheckMutation returns an error where a mutation is asked for that a scenario does not have;
-// an empty name asks for none.
+// CheckMutation returns an error if a scenario does not have the named mutation. An empty name
+// stands for no mutation and is valid.
 func CheckMutation(mutations map[string]string, name string) error {
 	if _, known := mutations[name]; name != "" && !known {
 		return fmt.Errorf("no mutation %q", name)
@@ -16,8 +16,9 @@
 	return nil
 }
 
-// BuildMutated builds one of the commands, with guards that the environment can switch off,
-// into dir and returns the binary's path. It needs the module's root as working directory.
+// BuildMutated builds one of the commands with the build tag mutation, so that an environment
+// variable can switch guards off. It writes the binary into dir and returns its path. The working
+// directory must be the root of the module.
 func BuildMutated(ctx context.Context, dir, command string) (binary string, err error) {
 	binary = filepath.Join(dir, command+"-mutated")
 	build := exec.CommandContext(ctx, "go", "build", "-tags", "mutation", "-o", binary, "coralrelay/cmd/"+command)
--- a/internal/scenario/testbed/node.go
+++ b/internal/scenario/testbed/node.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// startPoll is the time from one try to connect to a node that starts to the next.
-	startPoll = 5 * time.Millisecond
-	// terminateTimeout is how long a node may take to end after SIGTERM.
+	// startPollInterval is the time between two attempts to connect to a node that is starting.
+	startPollInterval = 5 * time.Millisecond
+	// terminateTimeout is how long a node may take to exit after SIGTERM.
 	terminateTimeout = 5 * time.Second
-	// clientsNotice is how long after a node was told to end clients still go there, as the
-	// platform's protocol has it.
-	clientsNotice = 300 * time.Millisecond
+	// clientNoticeDelay is how long clients still connect to a node after it was sent SIGTERM, as
+	// the platform's protocol specifies.
+	clientNoticeDelay = 300 * time.Millisecond
 )
 
-// Node is one real node, a process of its own.
+// Node is a node that runs as a separate process.
 type Node struct {
 	NodeOptions
-	Addr    string // where it takes clients
+	Addr    string // on which the node accepts clients
 	Process *Process
 
-	mu        sync.Mutex
-	goneSince time.Time // since when clients do not go there; zero while they do
-	stoppedAt time.Time // when it was last killed or told to end
+	mu               sync.Mutex
+	unavailableSince time.Time // time from which clients avoid the node; zero while they use it
+	stoppedAt        time.Time // when the node was last killed or sent SIGTERM
 }
 
-// Start starts the node and waits until it accepts clients. It is an error, with the end of the
-// node's log, if the process ends first.
+// Start starts the node and waits until it accepts clients. If the process exits first, Start returns
+// an error with the end of the node's log.
 func (n *Node) Start(ctx context.Context) error {
 	if err := n.Process.Start(); err != nil {
 		return err
@@ -44,16 +44,16 @@
 			return fmt.Errorf("node %s ended at its start: %s", n.Name, n.Process.Tail())
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(startPoll):
+		case <-time.After(startPollInterval):
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.goneSince = time.Time{}
+	n.unavailableSince = time.Time{}
 	return nil
 }
 
-// accepts reports whether the node takes a connection.
+// accepts reports whether the node accepts a connection.
 func (n *Node) accepts() bool {
 	conn, err := net.DialTimeout("tcp", n.Addr, time.Second)
 	if err != nil {
@@ -63,20 +63,20 @@
 	return true
 }
 
-// Kill ends the node outright.
+// Kill kills the node and waits until its process has ended.
 func (n *Node) Kill() {
-	n.markGone(0)
+	n.markUnavailable(0)
 	n.Process.Kill()
 }
 
-// markGone keeps clients from the node, after a delay and until Start.
-func (n *Node) markGone(delay time.Duration) {
+// markUnavailable keeps clients away from the node, from the end of the delay until Start.
+func (n *Node) markUnavailable(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.goneSince, n.stoppedAt = time.Now().Add(delay), time.Now()
+	n.unavailableSince, n.stoppedAt = time.Now().Add(delay), time.Now()
 }
 
-// Restart asks the node to end, as a planned restart does, and starts it again.
+// Restart performs a planned restart: it terminates the node with SIGTERM and starts it again.
 func (n *Node) Restart(ctx context.Context) error {
 	if err := n.Terminate(); err != nil {
 		return err
@@ -84,10 +84,10 @@
 	return n.Start(ctx)
 }
 
-// Terminate asks the node to end, as a planned restart does, and waits until it has. If it does
-// not end in time it is killed, which is an error.
+// Terminate sends the node SIGTERM, as a planned restart does, and waits until it has exited. If the
+// node does not exit within terminateTimeout, Terminate kills it and returns an error.
 func (n *Node) Terminate() error {
-	n.markGone(clientsNotice)
+	n.markUnavailable(clientNoticeDelay)
 	n.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-n.Process.Done():
@@ -98,7 +98,7 @@
 	}
 }
 
-// ResidentMemory returns the node's resident memory in bytes, 0 if it can't be read.
+// ResidentMemory returns the node's resident memory in bytes, or 0 if it can't be read.
 func (n *Node) ResidentMemory() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", n.Process.Pid()))
 	if err != nil {
--- a/internal/scenario/testbed/observed.go
+++ b/internal/scenario/testbed/observed.go
@@ -8,20 +8,21 @@
 	"coralrelay/internal/fake"
 )
 
-// FirstLine is the first line of a session as a fake server saw it.
+// FirstLine is the first line of a session as a fake server received it.
 type FirstLine struct {
 	Server, Zone, Node, Key string
 	At                      time.Time
 }
 
-// ClientAnswer is a final answer as a client saw it.
+// ClientAnswer is a final answer as a client received it.
 type ClientAnswer struct {
 	Node, Zone, Reply string
 	StartedAt         time.Time
 	Took              time.Duration
 }
 
-// Opened is called by a server for each first line; it returns when the server may answer.
+// Opened records a first line that a server received. It returns when the server may answer, which is
+// after AnswerDelay.
 func (bed *Testbed) Opened(opened fake.Opened) {
 	if bed.AnswerDelay != nil {
 		defer func() { time.Sleep(bed.AnswerDelay(opened.Server)) }()
@@ -38,15 +39,15 @@
 	})
 }
 
-// Started is called for streams, which no client of a testbed asks for.
+// Started ignores streams, which no client of a testbed requests.
 func (bed *Testbed) Started(fake.Started) {}
 
-// FirstLines returns those that came between two times, in order.
+// FirstLines returns the first lines received from from up to but not including until, ordered by time.
 func (bed *Testbed) FirstLines(from, until time.Time) (list []FirstLine) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	for _, line := range slices.Backward(bed.firstLines) {
-		// They are nearly in order: each is noted within a moment of its time.
+		// The lines are only nearly ordered, because each is recorded shortly after its time.
 		if line.At.Before(from.Add(-time.Second)) {
 			break
 		}
@@ -58,12 +59,13 @@
 	return list
 }
 
-// FirstLinesInto returns those of FirstLines that went into a zone.
+// FirstLinesInto returns the first lines of FirstLines that the servers of a zone received.
 func (bed *Testbed) FirstLinesInto(zone string, from, until time.Time) []FirstLine {
 	return slices.DeleteFunc(bed.FirstLines(from, until), func(line FirstLine) bool { return line.Zone != zone })
 }
 
-// ServerShares returns what each server got between two times, over the mean of all.
+// ServerShares returns, for each server, the number of first lines that it received between two times
+// as a multiple of the mean over all servers.
 func (bed *Testbed) ServerShares(from, until time.Time) map[string]float64 {
 	shares, lines := map[string]float64{}, bed.FirstLines(from, until)
 	for _, line := range lines {
@@ -75,25 +77,26 @@
 	return shares
 }
 
-// ServedShare returns the share of the transactions begun between two times that were served, and
-// how many there were.
+// ServedShare returns the share of served transactions among those that started between two times,
+// and the number of all of them.
 func (bed *Testbed) ServedShare(from, until time.Time) (share float64, all int) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
-	up := 0
+	served := 0
 	for _, answer := range bed.answers {
 		if answer.StartedAt.Before(from) || !answer.StartedAt.Before(until) {
 			continue
 		}
 		all++
 		if answer.Reply == "UP" {
-			up++
+			served++
 		}
 	}
-	return float64(up) / float64(max(all, 1)), all
+	return float64(served) / float64(max(all, 1)), all
 }
 
-// CheckRetryBudget holds all first lines of the run to the retry budget.
+// CheckRetryBudget checks that the retries among all first lines of the run stay within the retry
+// budget, and that the run sent enough transactions for the check to mean something.
 func (bed *Testbed) CheckRetryBudget() {
 	bed.mu.Lock()
 	sessions := map[string]bool{} // by key
--- a/internal/scenario/testbed/play.go
+++ b/internal/scenario/testbed/play.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// loadInterval is the time from one load report of all servers to the next.
+	// loadInterval is the interval at which the load reports of all servers are updated.
 	loadInterval = 100 * time.Millisecond
-	// loadWindow is the time that a load report looks back.
+	// loadWindow is the period before a load report over which its request rate is measured.
 	loadWindow = 2 * time.Second
-	// leastLoad is the lowest load that a server reports.
-	leastLoad = 0.01
+	// minReportedLoad is the lowest load that a server reports.
+	minReportedLoad = 0.01
 )
 
-// Phase is a part of a scenario's script. All phases of a run draw from one generator.
+// Phase is a part of a scenario's script. All phases of a run share one random number generator.
 type Phase struct {
 	Name string
 	Run  func(ctx context.Context, rng *mrand.Rand) error
 }
 
-// Play has clients come at the rate, and runs phases one after another: the first in any case,
-// of the others those that are chosen, or all. Then every process must still run that the
-// scenario has not ended. Its goroutines have ended when it returns.
+// Play starts the clients and runs phases in order. The first phase always runs; the others run if
+// they are chosen or if chosen is empty. Afterwards Play checks that no process has exited except
+// those that the scenario stopped. All goroutines of Play have ended when it returns.
 func (bed *Testbed) Play(ctx context.Context, phases []Phase, chosen []string) error {
 	for _, name := range chosen {
 		if !slices.ContainsFunc(phases, func(phase Phase) bool { return phase.Name == name }) {
-			return fmt.Errorf("no step %q", name)
+			return fmt.Errorf("unknown phase %q", name)
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// checkProcesses checks that no node or agent has ended by itself.
+// checkProcesses checks that no node or agent has exited by itself.
 func (bed *Testbed) checkProcesses() {
 	for _, node := range bed.Nodes {
 		bed.checkExit(node.Process)
@@ -74,8 +74,8 @@
 	}
 }
 
-// reportLoads has servers report what they were asked over the last two seconds, over what they
-// can do, until ctx ends.
+// reportLoads updates the load that each server reports until ctx ends. The load is the server's
+// request rate over the last two seconds (loadWindow) divided by its capacity.
 func (bed *Testbed) reportLoads(ctx context.Context) {
 	tick := time.NewTicker(loadInterval)
 	defer tick.Stop()
@@ -86,13 +86,13 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		asked := map[string]float64{} // by server
+		firstLines := map[string]float64{} // count by server
 		for _, line := range bed.FirstLines(now.Add(-loadWindow), now) {
-			asked[line.Server]++
+			firstLines[line.Server]++
 		}
 		for _, server := range bed.AllServers() {
-			rate := asked[server.Name] / loadWindow.Seconds()
-			server.SetLoad(max(leastLoad, rate/bed.CapacityOf(server, now)))
+			rate := firstLines[server.Name] / loadWindow.Seconds()
+			server.SetLoad(max(minReportedLoad, rate/bed.CapacityOf(server, now)))
 		}
 	}
 }
--- a/internal/scenario/testbed/process.go
+++ b/internal/scenario/testbed/process.go
@@ -12,28 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// tailSize is how much of a log Tail returns, in bytes.
+// tailSize is the maximum number of bytes that Tail returns.
 const tailSize = 600
 
-// Process is a program that a scenario starts, as often as it likes, and injects faults into. Its
-// standard error goes to a log file by way of a pipe, so that nothing of it is lost while the
-// program may write no files. Each start has a goroutine, which ends with the program.
+// Process is a program that a scenario can start repeatedly and inject faults into. The program's
+// standard error is piped through the scenario into a log file, so that no output is lost while
+// SetDiskFull prevents the program from writing files. Each start has a goroutine, which ends when the
+// program exits.
 type Process struct {
-	Name   string // in errors
+	Name   string // used in error messages
 	Binary string
-	Dir    string // of Log
-	Log    string // the log's file name
+	Dir    string // directory of the log file
+	Log    string // file name of the log
 	Args   []string
-	Env    []string   // beside this process's own
-	Files  []*os.File // that it inherits, from descriptor 3 on
+	Env    []string   // in addition to the environment of the scenario's process
+	Files  []*os.File // inherited by the program, from descriptor 3 on
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd
-	done           chan struct{} // closed when it has ended
-	endedOnPurpose bool          // it was killed by the scenario
+	done           chan struct{} // closed when the program has exited
+	endedOnPurpose bool          // the scenario killed the program
 }
 
-// Start starts the program; its log is appended to.
+// Start starts the program, which appends to the log of earlier starts.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(filepath.Join(p.Dir, p.Log), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -59,16 +60,16 @@
 	return nil
 }
 
-// Signal sends a signal, if the program was started.
+// Signal sends a signal to the program. It does nothing before the first Start.
 func (p *Process) Signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(sig) // an error once it has ended
+		_ = p.cmd.Process.Signal(sig) // fails if the program has exited
 	}
 }
 
-// Kill ends the program outright, paused or not, and waits until it has ended.
+// Kill kills the program, even if it is paused, and waits until it has exited.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.endedOnPurpose = true
@@ -80,38 +81,39 @@
 	}
 }
 
-// Pause stops the program where it is, like a machine that has stalled: its sockets stay open, and
-// nothing reads them. Resume lets it go on.
+// Pause suspends the program, which simulates a stalled machine: its sockets stay open, but nothing
+// reads from them. Resume continues the program.
 func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused program go on.
+// Resume continues a paused program.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// SetDiskFull has every write of the program to a file fail from now on, as on a full disk, or
-// succeed again.
+// SetDiskFull makes every write of the program to a file fail, as on a full disk, if full is true, and
+// succeed again if full is false.
 func (p *Process) SetDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return fmt.Errorf("%s: not started", p.Name)
 	}
-	// The hard limit stays, so that no privilege is needed to lift the soft one again.
+	// The hard limit is left unlimited, so that raising the soft limit again needs no privilege.
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if full {
 		limit.Cur = 0
 	}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("%s: limit on files: %w", p.Name, err)
+		return fmt.Errorf("%s: set file size limit: %w", p.Name, err)
 	}
 	return nil
 }
 
-// SetMaxDescriptors changes how many descriptors the program may hold from now on; 0 lifts the limit.
+// SetMaxDescriptors limits the number of file descriptors that the program may have open; 0 restores
+// the hard limit.
 func (p *Process) SetMaxDescriptors(count uint64) error {
 	var limit unix.Rlimit
 	pid := p.Pid()
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
-		return fmt.Errorf("%s: limit on descriptors: %w", p.Name, err)
+		return fmt.Errorf("%s: get file descriptor limit: %w", p.Name, err)
 	}
 	limit.Cur = limit.Max
 	if count > 0 {
@@ -120,20 +122,20 @@
 	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// Descriptors returns how many descriptors the program holds, 0 if that can't be read.
+// Descriptors returns how many file descriptors the program has open, or 0 if that can't be read.
 func (p *Process) Descriptors() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	return len(entries)
 }
 
-// Done returns a channel that is closed when the program ends; nil before it was started.
+// Done returns a channel that is closed when the program exits, or nil before the first Start.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// Pid returns the process number, 0 before the program was started.
+// Pid returns the process ID of the program, or 0 before the first Start.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,14 +145,15 @@
 	return p.cmd.Process.Pid
 }
 
-// CheckExit returns an error, with the end of the log, if the program has ended by itself.
+// CheckExit returns an error with the end of the log if the program has exited without being killed by
+// the scenario.
 func (p *Process) CheckExit() error {
 	p.mu.Lock()
-	done, meant := p.done, p.endedOnPurpose
+	done, onPurpose := p.done, p.endedOnPurpose
 	p.mu.Unlock()
 	select {
 	case <-done:
-		if meant {
+		if onPurpose {
 			return nil
 		}
 		return fmt.Errorf("%s has ended by itself: %s", p.Name, p.Tail())
@@ -159,8 +162,8 @@
 	}
 }
 
-// Tail returns the end of the log.
+// Tail returns the last tailSize bytes of the log.
 func (p *Process) Tail() string {
-	raw, _ := os.ReadFile(filepath.Join(p.Dir, p.Log)) // without one there is nothing to tell
+	raw, _ := os.ReadFile(filepath.Join(p.Dir, p.Log)) // a missing log counts as empty
 	return string(raw[max(0, len(raw)-tailSize):])
 }
--- a/internal/scenario/testbed/result.go
+++ b/internal/scenario/testbed/result.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// ErrRulesBroken is returned by Finish if a rule broke or a bound was missed.
+// ErrRulesBroken is returned by Finish if a rule was violated or a metric missed its bound.
 var ErrRulesBroken = errors.New("rules broken")
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   string `json:"rule"`
-	AtMs   int64  `json:"at_ms"` // since the scenario's start
+	AtMs   int64  `json:"at_ms"` // since the start of the scenario
 	Detail string `json:"detail"`
 }
 
-// Result is what a scenario found. Its methods may be called by several goroutines.
+// Result collects the violations and metrics of a scenario. Its methods are safe for concurrent use.
 type Result struct {
 	Scenario   string             `json:"scene"`
 	Seed       uint64             `json:"seed"`
@@ -38,7 +38,7 @@
 	countByRule map[string]int
 }
 
-// maxViolationsPerRule is how many violations are kept of one rule; the others are counted.
+// maxViolationsPerRule is how many violations of one rule are kept; further ones are only counted.
 const maxViolationsPerRule = 20
 
 // NewResult returns the empty result of a scenario that starts now.
@@ -53,7 +53,7 @@
 	}
 }
 
-// AddViolation notes that a rule broke.
+// AddViolation records a violation of a rule.
 func (r *Result) AddViolation(rule, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,37 +65,37 @@
 // Elapsed returns how long the scenario has run.
 func (r *Result) Elapsed() time.Duration { return time.Since(r.startedAt) }
 
-// AddMetric adds to a metric.
+// AddMetric adds value to a metric.
 func (r *Result) AddMetric(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Metrics[name] += value
 }
 
-// SetMetric sets a metric.
+// SetMetric sets a metric to value.
 func (r *Result) SetMetric(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Metrics[name] = value
 }
 
-// Metric returns a metric, 0 if it was never set.
+// Metric returns the value of a metric, or 0 if it was never set.
 func (r *Result) Metric(name string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Metrics[name]
 }
 
-// RequireAtLeast notes a violation if a metric is below a bound: a scenario that provoked nothing
-// proves nothing.
+// RequireAtLeast records a violation if a metric is below a bound, so that a scenario that failed to
+// provoke the events under test does not pass.
 func (r *Result) RequireAtLeast(name string, bound float64) {
 	if value := r.Metric(name); value < bound {
 		r.AddViolation("bound", fmt.Sprintf("%s is %g, at least %g is wanted", name, value, bound))
 	}
 }
 
-// Finish prints the result, writes the JSON file if one is named, and returns ErrRulesBroken if a
-// rule broke.
+// Finish prints the result, writes it as JSON if file is not empty, and returns ErrRulesBroken if
+// there are violations.
 func (r *Result) Finish(w io.Writer, file string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// print prints the metrics, the rules that broke with the first violations, and the verdict. The
-// lock is held.
+// print prints the metrics, the number of violations of each rule, the first violations and the
+// verdict. The caller holds the lock.
 func (r *Result) print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	printf := func(format string, args ...any) {
-		_, _ = fmt.Fprintf(table, format, args...) // Flush returns the error
+		_, _ = fmt.Fprintf(table, format, args...) // Flush returns any write error
 	}
 	printf("\n%s, seed %d\n", r.Scenario, r.Seed)
 	for _, name := range slices.Sorted(maps.Keys(r.Metrics)) {
@@ -143,7 +143,7 @@
 	return table.Flush()
 }
 
-// writeFile writes the result as JSON. The lock is held.
+// writeFile writes the result as JSON. The caller holds the lock.
 func (r *Result) writeFile(file string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/internal/scenario/testbed/servers.go
+++ b/internal/scenario/testbed/servers.go
@@ -7,20 +7,21 @@
 	"coralrelay/internal/fake"
 )
 
-// Server is a fake server in a zone.
+// Server is a fake server and its zone.
 type Server struct {
 	*fake.Server
 	Zone      string
-	coldSince time.Time // zero if it was warm from the beginning; guarded by the testbed's lock
+	coldSince time.Time // zero if the server was always warm; guarded by the lock of the testbed
 }
 
-// proxiedServerHost is where nodes reach servers through the proxy.
+// proxiedServerHost is the address at which nodes reach servers through the proxy.
 const proxiedServerHost = "127.0.7.1"
 
-// serverCapacity is how many sessions a server takes at once: more than there ever are.
+// serverCapacity is how many concurrent sessions a server accepts. Scenarios never reach it.
 const serverCapacity = 10_000
 
-// Join starts a server and lists it; a cold one begins its ramp now. It returns when it started.
+// Join starts a server and adds it to the endpoint list of discovery. A cold server begins its ramp at
+// its start. Join returns the time of the start.
 func (bed *Testbed) Join(name, zone string, cold bool) (time.Time, error) {
 	server := &Server{
 		Server: fake.NewServer(fake.ServerOptions{Name: name, Observer: bed, Capacity: serverCapacity}),
@@ -50,7 +51,8 @@
 	return startedAt, nil
 }
 
-// proxyServer returns the addresses, by node, at which a server is reached through the proxy.
+// proxyServer adds a server to the proxy and returns, by node, the addresses at which the nodes reach
+// it there.
 func (bed *Testbed) proxyServer(name, zone string, addrs map[string]string) (map[string]string, error) {
 	bed.Proxy.SetZone(name, zone)
 	proxied := map[string]string{}
@@ -63,7 +65,7 @@
 	return proxied, nil
 }
 
-// Leave takes a server, which has to be there, off the list and ends it for good.
+// Leave removes a server from the endpoint list and kills it. The server must have joined.
 func (bed *Testbed) Leave(name string) {
 	bed.Discovery.Set(name, fake.Left, time.Time{}, nil)
 	bed.mu.Lock()
@@ -74,19 +76,19 @@
 	server.Kill()
 }
 
-// AllServers returns the servers there are, in the order in which they joined.
+// AllServers returns the current servers in the order in which they joined.
 func (bed *Testbed) AllServers() []*Server {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	return slices.Clone(bed.servers)
 }
 
-// ServersIn returns the servers of some zones.
+// ServersIn returns the servers of the given zones.
 func (bed *Testbed) ServersIn(zones ...string) []*Server {
 	return slices.DeleteFunc(bed.AllServers(), func(server *Server) bool { return !slices.Contains(zones, server.Zone) })
 }
 
-// KillServers ends servers as killed processes end; discovery is not told.
+// KillServers kills servers without a change of the endpoint list in discovery.
 func (bed *Testbed) KillServers(list []*Server) error {
 	for _, server := range list {
 		server.Kill()
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// StartServers starts killed servers at their addresses. Discovery tells that they are cold from
-// now on, unless they come back with a fault: then it is not told at all.
+// StartServers starts killed servers again on their addresses, with a fault. If the fault is
+// fake.Healthy, discovery reports them as cold from now on; otherwise the endpoint list is unchanged.
 func (bed *Testbed) StartServers(list []*Server, fault fake.FaultMode) error {
 	for _, server := range list {
 		server.SetFault(fault)
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// MarkCold has a server be healthy and begin its ramp now; discovery tells so.
+// MarkCold makes a server healthy and lets its ramp begin now. Discovery reports the new start time.
 func (bed *Testbed) MarkCold(server *Server) {
 	now := time.Now()
 	server.SetFault(fake.Healthy)
@@ -125,7 +127,7 @@
 	bed.Discovery.Set(server.Name, fake.Active, now, nil)
 }
 
-// warmShareOf returns the part of what it can do warm that a server can do at a time.
+// warmShareOf returns a server's capacity at a time as a share of its capacity when warm.
 func (bed *Testbed) warmShareOf(server *Server, at time.Time) float64 {
 	bed.mu.Lock()
 	coldSince := server.coldSince
@@ -136,12 +138,13 @@
 	return bed.warmShare(at.Sub(coldSince))
 }
 
-// warmShare returns the same for a server that began its ramp so long ago.
+// warmShare returns the capacity of a server that began its ramp the given age ago, as a share of its
+// capacity when warm.
 func (bed *Testbed) warmShare(age time.Duration) float64 {
 	return SlowStartShare + (1-SlowStartShare)*min(1, max(0, age.Seconds()/bed.Ramp.Seconds()))
 }
 
-// CapacityOf returns how many first lines a second fill a server at a time.
+// CapacityOf returns the capacity of a server at a time, in first lines per second.
 func (bed *Testbed) CapacityOf(server *Server, at time.Time) float64 {
 	return bed.warmShareOf(server, at) * bed.Rate / float64(bed.Options.Servers) / UsualLoad
 }
--- a/internal/scenario/testbed/session.go
+++ b/internal/scenario/testbed/session.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// dialTimeout bounds a client's connection to a node.
+	// dialTimeout limits the time that a client takes to connect to a node.
 	dialTimeout = time.Second
-	// lateAnswer is how long beyond its patience a client still listens, to tell a late answer
-	// from none.
-	lateAnswer = 500 * time.Millisecond
+	// lateAnswerWindow is how long after FinalAnswerTimeout a client still reads, so that a late answer can
+	// be told from a missing one.
+	lateAnswerWindow = 500 * time.Millisecond
 )
 
-// ErrUnreachable is returned for a node that accepts no connection, as one that has just crashed.
+// ErrUnreachable is returned if a node accepts no connection, for instance after a crash.
 var ErrUnreachable = errors.New("node is unreachable")
 
-// Session is a client's connection to a node that got its final answer.
+// Session is a client's connection to a node on which the client has received its final answer.
 type Session struct {
-	Reply     string        // the answer's first word
+	Reply     string        // first word of the answer
 	StartedAt time.Time     // before the connection was made
 	Took      time.Duration // from StartedAt until the answer
 
 	close func()
 }
 
-// OpenSession connects to a node, sends a first line and waits for the final answer. An error
-// wraps ErrUnreachable if there was no connection, else there was no answer. The connection is
-// closed by Close or with ctx.
+// OpenSession connects to a node, sends a first line and waits for the final answer. The error wraps
+// ErrUnreachable if the connection failed; any other error means that no answer arrived. The
+// connection is closed by Close or when ctx ends.
 func OpenSession(ctx context.Context, addr, line string) (*Session, error) {
 	startedAt := time.Now()
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
@@ -44,8 +44,8 @@
 		stop()
 		_ = conn.Close()
 	}}
-	_ = conn.SetDeadline(startedAt.Add(AnswerTimeout + lateAnswer))
-	_, _ = fmt.Fprintf(conn, "%s\r\n", line) // a failure shows as the answer that does not come
+	_ = conn.SetDeadline(startedAt.Add(FinalAnswerTimeout + lateAnswerWindow))
+	_, _ = fmt.Fprintf(conn, "%s\r\n", line) // a failed write shows as a missing answer
 	text, err := bufio.NewReader(conn).ReadString('\n')
 	session.Took = time.Since(startedAt)
 	if err != nil {
@@ -56,5 +56,5 @@
 	return session, nil
 }
 
-// Close ends the session.
+// Close closes the connection of the session.
 func (s *Session) Close() { s.close() }
--- a/internal/scenario/testbed/standalone.go
+++ b/internal/scenario/testbed/standalone.go
@@ -7,9 +7,9 @@
 	"coralrelay/internal/fake"
 )
 
-// What scenarios share that run without a Testbed: single nodes beside fake servers.
+// The functions in this file are for scenarios that run single nodes and fake servers without a Testbed.
 
-// TempDir makes a folder for one run; remove deletes it with all that it holds.
+// TempDir creates a directory for one run. The function remove deletes it with its contents.
 func TempDir() (dir string, remove func(), err error) {
 	if dir, err = os.MkdirTemp("", "coralscenario-"); err != nil {
 		return "", nil, err
@@ -17,8 +17,8 @@
 	return dir, func() { _ = os.RemoveAll(dir) }, nil
 }
 
-// StartWarmServer starts a fake server for the named nodes and lists it as one that has been
-// running for long. It returns its address as each node reaches it.
+// StartWarmServer starts a fake server for the named nodes and adds it to the endpoint list as a warm
+// server. It returns the server's addresses by node.
 func StartWarmServer(discovery *fake.Discovery, options fake.ServerOptions, nodes []string) (
 	server *fake.Server, addrs map[string]string, err error) {
 	server = fake.NewServer(options)
--- a/internal/scenario/testbed/start.go
+++ b/internal/scenario/testbed/start.go
@@ -11,10 +11,10 @@
 	"coralrelay/internal/operatorconfig"
 )
 
-// keySize is that of the fleet's key, in bytes.
+// keySize is the size of the fleet's key, in bytes.
 const keySize = 32
 
-// start starts the servers, then each node with its agent.
+// start starts the servers, and then each agent followed by its node.
 func (bed *Testbed) start(ctx context.Context) error {
 	if err := bed.writeKeyFile(); err != nil {
 		return err
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// completeConfig adds to a member's file what is known once all members have theirs.
+// completeConfig adds the peers, the voters and the options of the scenario to a member's configuration.
+// The peers and voters are complete only after newMemberConfig was called for all members.
 func (bed *Testbed) completeConfig(name string, config *operatorconfig.File) {
 	if bed.WithoutAgents {
 		return
@@ -61,7 +62,7 @@
 	}
 }
 
-// writeKeyFile makes the fleet's key.
+// writeKeyFile generates the fleet's key and writes it to a file.
 func (bed *Testbed) writeKeyFile() error {
 	key := make([]byte, keySize)
 	if _, err := rand.Read(key); err != nil {
@@ -71,7 +72,7 @@
 	return os.WriteFile(bed.KeyFile, []byte(hex.EncodeToString(key)+"\n"), 0o600)
 }
 
-// startNode starts a node after its agent.
+// startNode starts the agent of a node, unless the testbed has none, and then the node.
 func (bed *Testbed) startNode(ctx context.Context, name string, number int, config *operatorconfig.File) error {
 	discovery, err := bed.Discovery.Listen(name)
 	if err != nil {
--- a/internal/scenario/testbed/testbed.go
+++ b/internal/scenario/testbed/testbed.go
@@ -1,11 +1,10 @@
-// Package testbed is what scenarios share: real nodes and agents as processes, fake servers in
-// zones, a proxy with faults between them, clients at a rate, what the servers and clients saw,
-// and the checks that hold in every scenario. Scenarios of single nodes use its Node, Process and
-// Result alone.
+// Package testbed has the parts that scenarios share: nodes and agents that run as processes, fake
+// servers in zones, a fault-injecting proxy between them, clients that arrive at a given rate, records
+// of what servers and clients received, and the checks that apply to every scenario. Scenarios of
+// single nodes use only Node, Process and Result.
 //
-// A Testbed owns its processes, fakes and folder until Close; Play owns the goroutines of its
-// clients. Errors say that a scenario could not run; what breaks a rule is a violation in the
-// Result.
+// A Testbed owns its processes, fakes and directory until Close; Play owns the goroutines of its
+// clients. An error means that a scenario could not run; a broken rule is a Violation in the Result.
 package testbed
 
 import (
@@ -21,42 +20,42 @@
 	"coralrelay/internal/scenario/faultproxy"
 )
 
-// Options size a testbed.
+// Options configures a testbed.
 type Options struct {
 	Scenario       string
 	Seed           uint64
 	Nodes, Servers int
-	Zones          []string  // nodes and servers are spread over them in turn; empty for a alone
-	Voters         int       // of the replicated log: the first so many agents; 0 for no log
-	Rate           float64   // transactions a second in usual times
-	WithoutAgents  bool      // nodes have no agents
-	ProxyServers   bool      // nodes reach servers through the proxy, too
-	ReportLoad     bool      // servers report what they are asked; else a usual load
-	Binary         string    // the node's
-	Agent          string    // the agent's binary; empty for the one beside the node's
-	Mutation       string    // for all processes; empty for none
-	Progress       io.Writer // nil for none
+	Zones          []string  // assigned to nodes and servers in turn; empty means zone a only
+	Voters         int       // how many agents vote in the replicated log; 0 means no log
+	Rate           float64   // usual rate, in transactions per second
+	WithoutAgents  bool      // run the nodes without agents
+	ProxyServers   bool      // connect nodes to servers through the proxy
+	ReportLoad     bool      // report load from the measured request rate, not a fixed load
+	Binary         string    // path of the node's binary
+	Agent          string    // path of the agent's binary; empty means the one beside Binary
+	Mutation       string    // of all processes; empty means none
+	Progress       io.Writer // output of phase names; nil means none
 
-	Ramp         time.Duration // until a server is warm: the settings' rampTime, in whole seconds
-	BudgetWindow time.Duration // of a cold server: the settings' tipAfter
-	LeaseTimeout time.Duration // fleet.hold
-	RetryRatio   float64       // fleet.retries
+	Ramp         time.Duration // time until a server is warm (rampTime of the settings); whole seconds
+	BudgetWindow time.Duration // budget window of a cold server (tipAfter of the settings)
+	LeaseTimeout time.Duration // fleet.hold of the operator configuration
+	RetryRatio   float64       // fleet.retries of the operator configuration
 
-	// OperatorConfig completes what a member's file says, nil for nothing more.
+	// OperatorConfig, if not nil, modifies the operator configuration of a member.
 	OperatorConfig func(name string, config *operatorconfig.File)
-	// ClockOffset is how far the clock of a member's agent is ahead, nil for not at all.
+	// ClockOffset returns how far the clock of a member's agent is ahead; nil means no offset.
 	ClockOffset func(name string) time.Duration
 }
 
-// What the settings of all nodes say, and how full servers are in usual times.
+// Shares and loads of servers. SlowStartShare and budgetMultiple repeat the settings of all nodes.
 const (
-	// SlowStartShare is the part of what it can do warm that a server can do as it starts.
+	// SlowStartShare is a server's capacity at its start, as a share of its capacity when warm.
 	SlowStartShare = 0.12
-	// budgetMultiple is how much more than what fills it a cold server may be sent in a window.
+	// budgetMultiple is the budget of a cold server in a window, as a multiple of its capacity.
 	budgetMultiple = 3.0
-	// UsualLoad is of a warm server: its usual share of the usual rate makes it.
+	// UsualLoad is the load of a warm server that receives its usual share of the usual rate.
 	UsualLoad = 0.3
-	// reportedWarmLoad is a little under the least usual load, so that a draw decides.
+	// reportedWarmLoad is slightly below the lowest usual load, so that a draw decides.
 	reportedWarmLoad = 0.29
 	reportedColdLoad = 0.05
 )
@@ -65,30 +64,30 @@
 type Testbed struct {
 	Options
 	*Result
-	Dir       string // of all files
+	Dir       string // directory of all files of the run
 	Discovery *fake.Discovery
 	Proxy     *faultproxy.Proxy
-	Names     []string // of the nodes, and of their agents
+	Names     []string // names of the nodes; an agent has the name of its node
 	Nodes     Nodes
 	Agents    map[string]*Agent    // by name
-	KeyFile   string               // the fleet's key
-	Fleet     operatorconfig.Fleet // what all members have alike
-	// AnswerDelay is how long a server waits before it answers a first line; nil for not at all.
+	KeyFile   string               // path of the fleet's key
+	Fleet     operatorconfig.Fleet // configuration that all members share
+	// AnswerDelay returns how long a server waits before it answers a first line; nil means no delay.
 	AnswerDelay func(server string) time.Duration
 
-	gossipAddresses []string // where the proxy takes members' gossip
+	gossipAddresses []string // at which the proxy accepts the gossip of members
 
-	mu          sync.Mutex
-	zones       map[string]string // by node and server
-	servers     []*Server
-	firstLines  []FirstLine
-	answers     []ClientAnswer
-	rate        float64 // transactions a second now
-	extraReturn bool    // clients beyond the usual rate come again
+	mu             sync.Mutex
+	zones          map[string]string // by node and server
+	servers        []*Server
+	firstLines     []FirstLine
+	answers        []ClientAnswer
+	rate           float64 // current rate, in transactions per second
+	extraReturning bool    // clients beyond the usual rate are returning ones
 }
 
-// New builds a testbed and starts all of it but its clients. Close ends it; if New fails, nothing
-// is left.
+// New creates a testbed and starts everything except its clients, which Play starts. The caller must
+// call Close. If New fails, it has released everything that it started.
 func New(ctx context.Context, options Options) (*Testbed, error) {
 	if len(options.Zones) == 0 {
 		options.Zones = []string{defaultZone}
@@ -117,10 +116,10 @@
 	return bed, nil
 }
 
-// SiblingBinary returns the path of another program in the folder of a binary.
+// SiblingBinary returns the path of another program in the directory of a binary.
 func SiblingBinary(binary, name string) string { return filepath.Join(filepath.Dir(binary), name) }
 
-// Close ends all processes and fakes, and deletes the folder.
+// Close stops all processes and fakes, and deletes the directory of the run.
 func (bed *Testbed) Close() {
 	bed.Nodes.KillAll()
 	for _, agent := range bed.Agents {
@@ -141,17 +140,17 @@
 	return bed.zones[name]
 }
 
-// NodesIn names the nodes in a zone, or, if there is false, all others.
-func (bed *Testbed) NodesIn(zone string, there bool) (names []string) {
+// NodesIn returns the names of the nodes inside a zone, or outside it if inside is false.
+func (bed *Testbed) NodesIn(zone string, inside bool) (names []string) {
 	for _, name := range bed.Names {
-		if (bed.Zone(name) == zone) == there {
+		if (bed.Zone(name) == zone) == inside {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// placeInZone gives each node its zone in turn.
+// placeInZone assigns a node to its zone; nodes are assigned to the zones in turn.
 func (bed *Testbed) placeInZone(name string, number int) {
 	zone := bed.Zones[number%len(bed.Zones)]
 	bed.mu.Lock()
