--- a/internal/scenario/faultproxy/direction.go
+++ b/internal/scenario/faultproxy/direction.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A direction of a stream has at most maxChunksInFlight chunks of chunkSize bytes in flight; more is
-// not read until some have arrived.
+// Each direction of a stream has at most maxChunksInFlight chunks of chunkSize bytes in flight. Once
+// the limit is reached, the proxy reads no more until a chunk has been written.
 const (
 	maxChunksInFlight = 64
 	chunkSize         = 16 << 10
@@ -21,14 +21,15 @@
 	link    pair
 }
 
-// chunk is what was read at once; without bytes it is the direction's end.
+// chunk has the bytes of one read, or of a piece of it. A chunk without bytes is the end of the
+// direction.
 type chunk struct {
 	dueAt time.Time
 	bytes []byte
 }
 
-// forwardDirection copies one direction until it ends, and passes its end on. It returns false if
-// the stream broke.
+// forwardDirection copies one direction until its end and forwards the end. It returns false if the
+// stream broke.
 func (p *Proxy) forwardDirection(ctx context.Context, d direction) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	chunks := make(chan chunk, maxChunksInFlight)
@@ -39,26 +40,28 @@
 	}()
 	isWritten := writeChunks(ctx, d.out, chunks)
 	if !isWritten {
-		_ = d.in.SetReadDeadline(time.Now()) // nobody waits for what it sends any more
+		_ = d.in.SetReadDeadline(time.Now()) // unblocks readChunks, whose chunks can no longer be written
 	}
 	cancel()
 	return <-read && isWritten
 }
 
-// readChunks reads what arrives, each chunk with the time at which it is due, in order.
+// readChunks reads the bytes that arrive and passes them on as chunks, with due times that never
+// decrease. It returns true if it reached the end of the direction.
 func (p *Proxy) readChunks(ctx context.Context, d direction, chunks chan<- chunk) bool {
-	var dueAt time.Time // of the chunk before
+	var dueAt time.Time // of the previous chunk
 	for passed := 0; ; {
 		buffer := make([]byte, chunkSize)
 		n, err := d.in.Read(buffer)
 		if n > 0 || errors.Is(err, io.EOF) {
-			f := p.drawStreamFate(d.link, n)
-			if f.copies == 0 {
-				// What is lost here is not retransmitted; both ends see that when the cut heals.
+			result := p.drawStreamOutcome(d.link, n)
+			if result.copies == 0 {
+				// The lost bytes are not retransmitted. Both ends notice when the cut is removed and the
+				// stream is closed.
 				_, _ = p.waitWhileCut(ctx, d.link)
 				return false
 			}
-			if at := time.Now().Add(f.delay); at.After(dueAt) {
+			if at := time.Now().Add(result.delay); at.After(dueAt) {
 				dueAt = at
 			}
 			fault := p.currentFault(d.link)
@@ -80,8 +83,8 @@
 	}
 }
 
-// sendChunk passes bytes on, or the direction's end if there are none, in pieces of a byte if it is told
-// to. It returns false if ctx ended first.
+// sendChunk passes bytes on as one chunk, or as chunks of one byte each if inPieces is true. Without
+// bytes it passes on the end of the direction. It returns false if ctx ended first.
 func sendChunk(ctx context.Context, chunks chan<- chunk, dueAt time.Time, bytes []byte, inPieces bool) bool {
 	size := max(len(bytes), 1)
 	if inPieces {
@@ -97,8 +100,8 @@
 	return true
 }
 
-// writeChunks writes chunks when they are due, until there are no more. It returns false if it could
-// not.
+// writeChunks writes each chunk when it is due, until the channel is closed. It returns false if a
+// write failed or ctx ended.
 func writeChunks(ctx context.Context, out net.Conn, chunks <-chan chunk) bool {
 	for c := range chunks {
 		if !sleep(ctx, time.Until(c.dueAt)) {
@@ -112,5 +115,5 @@
 			return false
 		}
 	}
-	return true // the reader reports whether that was the end
+	return true // readChunks reports whether the direction reached its end
 }
--- a/internal/scenario/faultproxy/fault.go
+++ b/internal/scenario/faultproxy/fault.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Fault is what happens to what one party sends to another. Its zero value is no fault.
+// Fault is a fault on the traffic from one party to another. The zero value is no fault.
 type Fault struct {
 	Cut        bool          // nothing arrives, and no error is reported
-	Delay      time.Duration // everything is late by this much
-	Jitter     time.Duration // and by up to this much more: datagrams may be reordered
-	Drop       float64       // the share of datagrams that is lost; a stream is delayed instead, as by a retransmit
-	Duplicate  float64       // the share of datagrams that arrives twice
-	ResetAt    int           // a stream is reset after so many bytes; 0 for never
+	Delay      time.Duration // added to everything
+	Jitter     time.Duration // maximum random delay on top of Delay, which may reorder datagrams
+	Drop       float64       // share of datagrams lost; a stream is delayed instead, as by a retransmit
+	Duplicate  float64       // share of datagrams that arrives twice
+	ResetAt    int           // number of bytes after which a stream is reset; 0 means never
 	ByteByByte bool          // a stream arrives byte by byte
 }
 
-// combine returns the fault where two faults apply.
+// combine returns the fault that has the effects of both faults.
 func (f Fault) combine(g Fault) Fault {
 	return Fault{
 		Cut:        f.Cut || g.Cut,
@@ -30,23 +30,24 @@
 	}
 }
 
-// retransmitDelay is how long what was lost on a stream takes to be sent again.
+// retransmitDelay is the delay of stream data that is lost and has to be retransmitted.
 const retransmitDelay = 200 * time.Millisecond
 
-// fate is what becomes of some bytes.
-type fate struct {
-	copies int // that arrive
+// outcome is the effect of a fault on a datagram or on a read of a stream.
+type outcome struct {
+	copies int // number of copies that arrive
 	delay  time.Duration
 }
 
-// faultBetween returns the fault on what one party sends to another; the lock is held.
+// faultBetween returns the fault on the traffic from one party to another, which combines the faults
+// of the parties and of their zones. The caller holds the lock.
 func (p *Proxy) faultBetween(link pair) Fault {
 	zones := pair{p.parties[link.from].zone, p.parties[link.to].zone}
 	return p.partyFaults[link].combine(p.zoneFaults[zones])
 }
 
-// rng returns the random numbers of one direction, which follow from the seed and the names; the
-// lock is held.
+// rng returns the random number generator of one direction, which is determined by the seed and the
+// names of the parties. The caller holds the lock.
 func (p *Proxy) rng(link pair) *rand.Rand {
 	if rng := p.rngs[link]; rng != nil {
 		return rng
@@ -61,12 +62,12 @@
 	return rng
 }
 
-// drawDatagramFate draws what becomes of a datagram of n bytes.
-func (p *Proxy) drawDatagramFate(link pair, n int) fate {
+// drawDatagramOutcome draws the outcome of a datagram of n bytes.
+func (p *Proxy) drawDatagramOutcome(link pair, n int) outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fault, isDropped, isDuplicated, delay := p.draw(link)
-	result := fate{copies: 1, delay: delay}
+	result := outcome{copies: 1, delay: delay}
 	switch {
 	case fault.Cut, isDropped:
 		result.copies = 0
@@ -77,12 +78,12 @@
 	return result
 }
 
-// drawStreamFate draws what becomes of n bytes of a stream.
-func (p *Proxy) drawStreamFate(link pair, n int) fate {
+// drawStreamOutcome draws the outcome of n bytes of a stream.
+func (p *Proxy) drawStreamOutcome(link pair, n int) outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fault, isDropped, _, delay := p.draw(link)
-	result := fate{copies: 1, delay: delay}
+	result := outcome{copies: 1, delay: delay}
 	switch {
 	case fault.Cut:
 		result.copies = 0
@@ -93,8 +94,8 @@
 	return result
 }
 
-// draw draws what the fault of a direction does; the lock is held. All numbers are always drawn:
-// setting one fault must not change the draws of the others.
+// draw draws the effects of the fault of a direction. It always draws all random numbers, so that
+// setting one kind of fault does not change the draws of the others. The caller holds the lock.
 func (p *Proxy) draw(link pair) (fault Fault, isDropped, isDuplicated bool, delay time.Duration) {
 	fault = p.faultBetween(link)
 	rng := p.rng(link)
@@ -104,11 +105,11 @@
 	return fault, isDropped, isDuplicated, delay
 }
 
-// account counts what a party has sent; the lock is held.
-func (p *Proxy) account(from string, n int, f fate) {
+// account adds n bytes with their outcome to the counters of the sender. The caller holds the lock.
+func (p *Proxy) account(from string, n int, result outcome) {
 	sender := p.parties[from]
 	sender.sentBytes += uint64(n)
-	if f.copies == 0 {
+	if result.copies == 0 {
 		sender.droppedDatagrams++
 	}
 }
@@ -120,7 +121,7 @@
 	return p.faultBetween(link)
 }
 
-// isCut reports whether a direction is cut, and returns a channel that is closed when a fault
+// isCut reports whether a direction is cut. It also returns a channel that is closed when any fault
 // changes.
 func (p *Proxy) isCut(link pair) (cut bool, changed <-chan struct{}) {
 	p.mu.Lock()
@@ -128,8 +129,8 @@
 	return p.faultBetween(link).Cut, p.changed
 }
 
-// waitWhileCut waits while a direction is cut; waited reports whether it had to. It returns ok false
-// if ctx ended first.
+// waitWhileCut waits while a direction is cut. The result waited reports whether it was cut at all;
+// ok is false if ctx ended first.
 func (p *Proxy) waitWhileCut(ctx context.Context, link pair) (waited, ok bool) {
 	for {
 		cut, changed := p.isCut(link)
--- a/internal/scenario/faultproxy/party.go
+++ b/internal/scenario/faultproxy/party.go
@@ -7,36 +7,36 @@
 	"net/netip"
 )
 
-// maxStreams is how many streams a listener has at once; further ones are closed.
+// maxStreams limits the concurrent streams of a listener; further ones are closed.
 const maxStreams = 512
 
-// party is a process that sends or receives.
+// party is a process whose traffic passes through the proxy.
 type party struct {
 	name, zone       string
 	sentBytes        uint64
-	droppedDatagrams uint64 // of those it sent; reads of a stream that is cut count too
+	droppedDatagrams uint64 // sent by the party; reads of a stream that is cut count too
 	listeners        []*listener
 }
 
-// listener is one of the proxy's addresses for a party.
+// listener is one address of the proxy at which a party is reached.
 type listener struct {
 	party       *party
-	client      string // the only one that uses it; empty if the client is known by its IP
+	client      string // the only client of the listener; empty if clients are identified by their IP
 	target      string // the address on which the party listens
 	addr        string // the address on which the proxy listens
 	slots       chan struct{}
-	udpConn     *net.UDPConn // nil if the party has streams only
+	udpConn     *net.UDPConn // nil if the party accepts only streams
 	tcpListener net.Listener // nil while the party is down
 }
 
-// party returns the party of a name, which it adds if need be; the lock is held.
+// party returns the party with a name and adds it if it does not exist. The caller holds the lock.
 func (p *Proxy) party(name string) *party {
-	one := p.parties[name]
-	if one == nil {
-		one = &party{name: name}
-		p.parties[name] = one
+	found := p.parties[name]
+	if found == nil {
+		found = &party{name: name}
+		p.parties[name] = found
 	}
-	return one
+	return found
 }
 
 // SetZone sets the zone of a party.
@@ -46,9 +46,9 @@
 	p.party(name).zone = zone
 }
 
-// Add adds a party that listens on an address, TCP and UDP, and sends from its IP. It returns the
-// address at which the others reach it: ip is its IP, the port is the system's choice. A party may
-// listen on several addresses of one IP.
+// Add adds a party that listens on the address target, on TCP and UDP, and sends from the IP of
+// target. It returns the address at which the other parties reach it: the given IP with a port chosen
+// by the system. A party may be added for several addresses of one IP.
 func (p *Proxy) Add(name, target, ip string) (addr string, err error) {
 	targetAddr, err := netip.ParseAddrPort(target)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return l.addr, nil
 }
 
-// AddFor adds a party that listens for streams, and returns the address at which one client reaches
-// it: all that connects there is that client, whatever its address.
+// AddFor adds a party that accepts streams and returns the address at which one client reaches it.
+// Every connection to that address counts as that client's, whatever its source address.
 func (p *Proxy) AddFor(client, name, target, ip string) (addr string, err error) {
 	l, err := p.addListener(name, client, target, ip)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return l.addr, nil
 }
 
-// addListener opens a listener that does not accept yet.
+// addListener opens a listener without accepting streams.
 func (p *Proxy) addListener(name, client, target, ip string) (*listener, error) {
 	tcpListener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -106,15 +106,15 @@
 	return l, nil
 }
 
-// startAccepting accepts streams until the listener is closed.
+// startAccepting starts a goroutine that accepts streams until the listener is closed.
 func (p *Proxy) startAccepting(l *listener) {
 	tcpListener := l.tcpListener
 	context.AfterFunc(p.ctx, func() { _ = tcpListener.Close() })
 	p.wg.Go(func() { p.accept(l, tcpListener) })
 }
 
-// SetDown says that a party's process is down or up again. While it is down, connections to it are
-// refused, as its machine would refuse them, and not accepted and then closed.
+// SetDown sets whether the process of a party is down. While it is down, connections to it are
+// refused, as the party's machine would refuse them, instead of being accepted and then closed.
 func (p *Proxy) SetDown(name string, down bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,12 +135,13 @@
 	return nil
 }
 
-// Transferred returns how many bytes a party has sent, and how many of its datagrams were dropped.
+// Transferred returns the number of bytes that a party has sent and the number of its datagrams that
+// were dropped.
 func (p *Proxy) Transferred(name string) (bytes, dropped uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if one := p.parties[name]; one != nil {
-		return one.sentBytes, one.droppedDatagrams
+	if found := p.parties[name]; found != nil {
+		return found.sentBytes, found.droppedDatagrams
 	}
 	return 0, 0
 }
--- a/internal/scenario/faultproxy/proxy.go
+++ b/internal/scenario/faultproxy/proxy.go
@@ -1,12 +1,12 @@
-// Package faultproxy is a proxy between real processes that injects faults: it can cut, delay, drop
-// and duplicate what they send to one another, each direction by itself.
+// Package faultproxy provides a fault-injecting proxy between processes. The proxy can cut, delay,
+// drop and duplicate their traffic, separately for each direction.
 //
-// Each party listens on an address of its own and advertises the proxy's address for it. The sender
-// is known by the loopback address that it sends from, so that each party needs an IP of its own. A
-// client without such an address is known by a listener that only it uses (AddFor).
+// Each party listens on an address of its own and advertises the proxy's address for it. The proxy
+// identifies a sender by its loopback address, so that each party needs an IP of its own. A client
+// without such an address is identified by a listener that only this client uses (AddFor).
 //
-// A Proxy runs a goroutine for each listener and some for each stream. Close ends all of them and
-// waits until they have ended.
+// A Proxy runs a goroutine for each listener and several for each stream. Close stops all of them and
+// waits until they have returned.
 package faultproxy
 
 import (
@@ -35,13 +35,13 @@
 	partyByIP        map[netip.Addr]string
 	partyFaults      map[pair]Fault
 	zoneFaults       map[pair]Fault
-	rngs             map[pair]*rand.Rand // by parties
+	rngs             map[pair]*rand.Rand // by the parties of a direction
 	delayedDatagrams int
-	changed          chan struct{} // closed when faults change
+	changed          chan struct{} // closed and replaced when a fault changes
 }
 
-// New returns a proxy without parties. What it drops follows from the seed and from the order in
-// which each party's datagrams arrive.
+// New returns a proxy without parties. The seed and the order in which each party's datagrams arrive
+// determine which of them the proxy drops.
 func New(seed uint64) *Proxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Proxy{
@@ -55,13 +55,13 @@
 	}
 }
 
-// Set sets the fault on what one party sends to another; a zero Fault removes it.
+// Set sets the fault on the traffic from one party to another; a zero Fault removes it.
 func (p *Proxy) Set(from, to string, f Fault) {
 	p.SetOneWay([]string{from}, []string{to}, f)
 }
 
-// SetBetweenZones sets the fault on all that the parties of one zone send to those of another, one
-// way. It adds to the fault between two of the parties; a zero Fault removes it.
+// SetBetweenZones sets the fault on the traffic from all parties of one zone to those of another, in
+// this direction only. It is combined with the fault between two parties; a zero Fault removes it.
 func (p *Proxy) SetBetweenZones(from, to string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,13 +69,13 @@
 	p.notifyChanged()
 }
 
-// SetBetween sets the fault on all that passes between two groups of parties, both ways.
+// SetBetween sets the fault on the traffic between two groups of parties, in both directions.
 func (p *Proxy) SetBetween(one, other []string, f Fault) {
 	p.SetOneWay(one, other, f)
 	p.SetOneWay(other, one, f)
 }
 
-// SetOneWay sets the fault on all that one group of parties sends to another.
+// SetOneWay sets the fault on the traffic from one group of parties to another.
 func (p *Proxy) SetOneWay(from, to []string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,8 @@
 	p.notifyChanged()
 }
 
-// Heal removes all faults. Streams that were cut end: what they lost is lost.
+// Heal removes all faults. Streams that lost bytes to a cut end, because lost bytes are not
+// retransmitted.
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,13 +97,13 @@
 	p.notifyChanged()
 }
 
-// notifyChanged wakes all that wait for a fault to change; the lock is held.
+// notifyChanged wakes all goroutines that wait for a fault to change. The caller holds the lock.
 func (p *Proxy) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Close ends the proxy and all that passes through it.
+// Close closes all listeners and streams and waits until their goroutines have returned.
 func (p *Proxy) Close() {
 	p.cancel()
 	p.wg.Wait()
--- a/internal/scenario/faultproxy/streams.go
+++ b/internal/scenario/faultproxy/streams.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// forwardStream forwards a stream, both ways, until either side ends it. The kernel has accepted the
-// client's connection by now, which can't be prevented; a cut takes away all that would follow. The
-// client sees an established connection and then silence: its timeout for a first line or a health
-// check expires, never that of a connect.
+// forwardStream forwards a stream in both directions until either side ends it. The kernel has already
+// accepted the client's connection, which can't be prevented, so a cut only affects what follows: the
+// client sees an established connection without any data. Its timeout for a first line or a health
+// check expires, but never its connect timeout.
 func (p *Proxy) forwardStream(conn net.Conn, from string, l *listener) {
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
@@ -60,18 +60,18 @@
 	defer func() { _ = target.Close() }()
 	stopTarget := context.AfterFunc(ctx, func() { reset(target) })
 	defer stopTarget()
-	var both sync.WaitGroup
+	var directions sync.WaitGroup
 	for _, d := range []direction{{conn, target, link}, {target, conn, link.reversed()}} {
-		both.Go(func() {
+		directions.Go(func() {
 			if !p.forwardDirection(ctx, d) {
-				cancel() // else the other direction may still have an answer to forward
+				cancel() // if this direction ended normally, the other may still have an answer to forward
 			}
 		})
 	}
-	both.Wait()
+	directions.Wait()
 }
 
-// reset ends a connection as it ended on the other side: not as if all had been sent.
+// reset closes a connection with a TCP reset, so that the peer does not take it for a normal end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -79,15 +79,15 @@
 	_ = conn.Close()
 }
 
-// waitForHandshake waits as long as the handshake of a connection would take: its first segment goes
-// one way and the answer the other, so that a cut of either delays it. It returns false if a cut
-// did, even if that was healed: by then the client has given up.
+// waitForHandshake waits as long as a TCP handshake would take. The first segment and its answer go in
+// opposite directions, so that a cut of either direction delays the handshake. It returns false after
+// any such cut, even one that has been healed, because the client has given up by then.
 func (p *Proxy) waitForHandshake(ctx context.Context, link pair) bool {
 	for _, segment := range []pair{link, link.reversed()} {
 		if waited, ok := p.waitWhileCut(ctx, segment); waited || !ok {
 			return false
 		}
-		if f := p.drawStreamFate(segment, 0); !sleep(ctx, f.delay) {
+		if result := p.drawStreamOutcome(segment, 0); !sleep(ctx, result.delay) {
 			return false
 		}
 	}
--- a/internal/scenario/faultproxy/streams_test.go
+++ b/internal/scenario/faultproxy/streams_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// echo echoes each line that comes to l, and sends it to received.
+// echo accepts connections on l, echoes each line that it reads and sends the line to received.
 func echo(l net.Listener, received chan<- string) {
 	for {
 		conn, err := l.Accept()
@@ -29,7 +29,7 @@
 	}
 }
 
-// dialProxy opens a stream from the sender's IP, or from the system's choice.
+// dialProxy opens a stream from the sender's IP, or from an IP that the system chooses.
 func dialProxy(to string, fromSender bool) (net.Conn, error) {
 	d := net.Dialer{Timeout: 5 * time.Second}
 	if fromSender {
@@ -38,7 +38,7 @@
 	return d.Dial("tcp", to)
 }
 
-// exchangeLine sends a line and returns what came back.
+// exchangeLine sends a line and returns the bytes that were read in response.
 func exchangeLine(conn net.Conn, text string, timeout time.Duration) (string, error) {
 	_ = conn.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprintln(conn, text)
@@ -49,13 +49,14 @@
 
 const longTimeout, shortTimeout = 5 * time.Second, 100 * time.Millisecond
 
-// streamFaultCase is a fault, and what it does to a new stream and to one that was established before.
+// streamFaultCase is a fault and its expected effects on a new stream and on one that was established
+// before the fault.
 type streamFaultCase struct {
 	name             string
 	fault            func(p *Proxy)
-	newStreamError   error // of a new stream, nil for an answer
-	establishedError error // of the established one
-	isReceived       bool  // what the clients send arrives all the same
+	newStreamError   error // expected on a new stream; nil if it gets an answer
+	establishedError error // expected on the established stream
+	isReceived       bool  // the receiver gets what the clients send
 	atLeast, atMost  time.Duration
 }
 
@@ -66,10 +67,10 @@
 	{"cut both ways", func(p *Proxy) {
 		p.SetBetween([]string{"mouth"}, []string{"ear"}, Fault{Cut: true})
 	}, errSilent, errSilent, false, 0, longTimeout},
-	{"cut there", func(p *Proxy) {
+	{"cut towards the receiver", func(p *Proxy) {
 		p.Set("mouth", "ear", Fault{Cut: true})
 	}, errSilent, errSilent, false, 0, longTimeout},
-	{"cut back", func(p *Proxy) {
+	{"cut towards the sender", func(p *Proxy) {
 		p.Set("ear", "mouth", Fault{Cut: true})
 	}, errSilent, errSilent, true, 0, longTimeout},
 	{"zones cut", func(p *Proxy) {
@@ -92,16 +93,16 @@
 }
 
 func (tt streamFaultCase) run(t *testing.T) {
-	e := newTestParties(t, 1)
-	e.proxy.SetZone("mouth", "a")
-	e.proxy.SetZone("ear", "b")
+	parties := newTestParties(t, 1)
+	parties.proxy.SetZone("mouth", "a")
+	parties.proxy.SetZone("ear", "b")
 	received := make(chan string, 10)
-	go echo(e.listener, received)
+	go echo(parties.listener, received)
 	timeout := longTimeout
 	if tt.establishedError != nil {
 		timeout = shortTimeout
 	}
-	established, err := dialProxy(e.addr, true)
+	established, err := dialProxy(parties.addr, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,80 +110,82 @@
 		t.Fatal(err)
 	}
 	<-received
-	tt.fault(e.proxy)
-	begun := time.Now()
+	tt.fault(parties.proxy)
+	startedAt := time.Now()
 	if _, err := exchangeLine(established, "standing", timeout); !errors.Is(err, tt.establishedError) {
-		t.Errorf("the established stream: %v, want %v", err, tt.establishedError)
+		t.Errorf("exchange on the established stream: error %v, want %v", err, tt.establishedError)
 	}
-	if took := time.Since(begun); took < tt.atLeast || took > tt.atMost {
-		t.Errorf("an answer after %v, want %v to %v", took, tt.atLeast, tt.atMost)
+	if took := time.Since(startedAt); took < tt.atLeast || took > tt.atMost {
+		t.Errorf("answer on the established stream after %v, want %v to %v", took, tt.atLeast, tt.atMost)
 	}
-	fresh, err := dialProxy(e.addr, true)
+	fresh, err := dialProxy(parties.addr, true)
 	if err == nil {
 		_, err = exchangeLine(fresh, "fresh", timeout)
 	}
 	if !errors.Is(err, tt.newStreamError) {
-		t.Errorf("a new stream: %v, want %v", err, tt.newStreamError)
+		t.Errorf("exchange on a new stream: error %v, want %v", err, tt.newStreamError)
 	}
 	if tt.isReceived != (len(received) > 0) {
-		t.Errorf("%d lines received, want some: %v", len(received), tt.isReceived)
+		t.Errorf("%d lines received after the fault, want any: %v", len(received), tt.isReceived)
 	}
-	e.proxy.Heal()
+	parties.proxy.Heal()
 	if tt.newStreamError != nil {
-		checkHealed(t, e, fresh)
+		checkHealed(t, parties, fresh)
 	}
 }
 
-// checkHealed checks that a stream that was cut ends, as what it lost is lost, and that a new one is
-// forwarded.
-func checkHealed(t *testing.T, e *testParties, cut net.Conn) {
+// checkHealed checks the state after a cut was healed: a stream that was cut has ended, because its
+// lost bytes are not retransmitted, and a new stream is forwarded.
+func checkHealed(t *testing.T, parties *testParties, cut net.Conn) {
 	t.Helper()
 	_ = cut.SetDeadline(time.Now().Add(longTimeout))
 	if n, err := cut.Read(make([]byte, 1)); n > 0 || errors.Is(err, errSilent) {
-		t.Errorf("healed, a cut stream goes on: %v", err)
+		t.Errorf("a cut stream did not end after the cut was healed: %v", err)
 	}
-	again, err := dialProxy(e.addr, true)
+	again, err := dialProxy(parties.addr, true)
 	if err == nil {
 		_, err = exchangeLine(again, "again", longTimeout)
 	}
 	if err != nil {
-		t.Errorf("healed: %v", err)
+		t.Errorf("new stream after the cut was healed: %v", err)
 	}
 }
 
-// Two clients with one IP are known by their listeners; a party whose process is down refuses, and
-// accepts again on the same address.
+// Clients that share an IP must be told apart by their listeners: a fault on one client must not affect
+// the other. A party that is down must refuse connections, and accept them again on the same address.
 func TestListenerNamesItsClient(t *testing.T) {
-	e := newTestParties(t, 1)
+	parties := newTestParties(t, 1)
 	received := make(chan string, 10)
-	go echo(e.listener, received)
-	at := map[string]string{}
+	go echo(parties.listener, received)
+	addrs := map[string]string{}
 	for _, name := range []string{"n0", "n1"} {
 		var err error
-		if at[name], err = e.proxy.AddFor(name, "s0", e.listener.Addr().String(), "127.0.4.3"); err != nil {
+		if addrs[name], err = parties.proxy.AddFor(
+			name, "s0", parties.listener.Addr().String(), "127.0.4.3",
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e.proxy.Set("n0", "s0", Fault{Cut: true})
+	parties.proxy.Set("n0", "s0", Fault{Cut: true})
 	for name, want := range map[string]error{"n0": os.ErrDeadlineExceeded, "n1": nil} {
 		timeout := longTimeout
 		if want != nil {
 			timeout = shortTimeout
 		}
-		conn, err := dialProxy(at[name], false)
+		conn, err := dialProxy(addrs[name], false)
 		if err == nil {
 			_, err = exchangeLine(conn, name, timeout)
 		}
 		if !errors.Is(err, want) {
-			t.Errorf("%s: %v, want %v", name, err, want)
+			t.Errorf("exchange from %s: error %v, want %v", name, err, want)
 		}
 	}
-	for _, gone := range []bool{true, false} {
-		if err := e.proxy.SetDown("s0", gone); err != nil {
+	for _, down := range []bool{true, false} {
+		if err := parties.proxy.SetDown("s0", down); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := dialProxy(at["n1"], false); errors.Is(err, syscall.ECONNREFUSED) != gone {
-			t.Errorf("gone %v: %v", gone, err)
+		if _, err := dialProxy(addrs["n1"], false); errors.Is(err, syscall.ECONNREFUSED) != down {
+			t.Errorf("dial with the party down %v: error %v", down, err)
 		}
 	}
 }
