--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -10,55 +10,55 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// NodePicker picks the node for a client's next connection, as the load balancer in front of the
-// nodes would.
+// NodePicker selects the node for a client's next connection, like a load balancer in front of the
+// nodes.
 type NodePicker interface {
-	// Pick draws a node and returns its name and address.
+	// Pick draws a node at random and returns its name and address.
 	Pick(rng *rand.Rand) (node, addr string)
-	// StoppedSince reports whether a node was killed, or is ending, since a time: a request that it
-	// accepted then may be lost.
+	// StoppedSince reports whether a node is down or shutting down, or was stopped after a time. A
+	// request that such a node accepted may be lost.
 	StoppedSince(node string, since time.Time) bool
 }
 
-// ClientObserver is notified of what clients see.
+// ClientObserver receives the events that clients observe.
 type ClientObserver interface {
-	// AddViolation reports that a rule was broken.
+	// AddViolation reports a violation of a rule.
 	AddViolation(rule, detail string)
 	// Answered reports the final answer to a first line: UP, BUSY or ERR.
 	Answered(key, answer string, presented bool, took time.Duration)
-	// Moved reports a MOVE with its token, which is empty if it has none.
+	// Moved reports a MOVE with its token; the token is empty if the MOVE has none.
 	Moved(key, group, token string)
-	// Streaming reports that a stream has begun: whether a token was presented and honoured, how
-	// long after UP, and how long after the last line of the stream before.
+	// Streaming reports the start of a stream: whether a token was presented, whether the stream was
+	// resumed, the time since UP (wait) and the time since the last line of the previous stream (gap).
 	Streaming(key string, presented, resumed bool, wait, gap time.Duration)
 }
 
-// Client follows one group, for as long as it runs.
+// Client follows the stream of one group and reconnects until its context ends.
 type Client struct {
 	Key, Group        string
 	Class             string
-	AnswerTimeout     time.Duration // until the final answer
+	AnswerTimeout     time.Duration // from connecting until the final answer
 	Nodes             NodePicker
 	Observer          ClientObserver
-	DuplicateShare    float64 // the share of the tokens that it presents at two nodes at once
-	WithoutResumption bool    // it does not ask for resumption
+	DuplicateShare    float64 // share of the tokens that the client presents on two connections at once
+	WithoutResumption bool    // do not request resumption
 
 	rng         *rand.Rand
 	connections int
 
 	mu             sync.Mutex
-	versions       map[int]uint64 // by listing
-	streamingSince time.Time      // zero while it has no stream
-	lastLineAt     time.Time      // its latest line of a stream
+	versions       map[int]uint64 // by listing number
+	streamingSince time.Time      // zero while the client has no stream
+	lastLineAt     time.Time      // when the client last read a stream start or an update
 	position       resumetoken.Position
 	hasPosition    bool
 }
 
-// Seed makes the client's choices repeatable.
+// Seed seeds the client's random choices, so that they can be repeated.
 func (c *Client) Seed(seed, number uint64) { c.rng = rand.New(rand.NewPCG(seed, number)) }
 
-// Versions returns the version that the client has of each listing, and since when its present
-// stream lasts: zero if it has none.
+// Versions returns the version that the client has of each listing, and the time at which its current
+// stream began, which is zero if it has no stream.
 func (c *Client) Versions() (versions map[int]uint64, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// presentTwice presents a token at two nodes at once, as a client does that has retried too early.
-// It follows its own connection to the end, and then closes the other. It returns the next token.
+// presentTwice presents a token on two connections at once, like a client that retried too early. It
+// follows its own connection to the end and then closes the duplicate. It returns the next token.
 func (c *Client) presentTwice(ctx context.Context, token string) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,7 +98,7 @@
 	return next
 }
 
-// duplicate returns a client that has seen the same as c.
+// duplicate returns a client with the same state as c.
 func (c *Client) duplicate() *Client {
 	duplicate := &Client{
 		Key: c.Key, Group: c.Group, Class: c.Class, AnswerTimeout: c.AnswerTimeout,
--- a/internal/fake/client_connection.go
+++ b/internal/fake/client_connection.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	answerSlack   = 50 * time.Millisecond // an answer this much after the timeout still counts
-	readSlack     = time.Second           // how much longer an answer is waited for, to see how late it is
-	lineSizeLimit = 8192                  // in bytes
+	dialTimeout      = time.Second
+	answerTolerance  = 50 * time.Millisecond // an answer this late after the timeout still counts as in time
+	lateAnswerWindow = time.Second           // read time after the timeout, to measure late answers
+	lineSizeLimit    = 8192                  // in bytes
 )
 
 // Names of the rules that a client checks.
 const (
-	ruleOneAnswer = "one-answer"
-	ruleSilence   = "silence"
-	ruleStream    = "stream"
-	ruleUnasked   = "unasked"
+	ruleOneAnswer   = "one-answer"
+	ruleSilence     = "silence"
+	ruleStream      = "stream"
+	ruleUnrequested = "unasked"
 )
 
 // connection is one connection of a client.
@@ -31,14 +31,14 @@
 	*Client
 	net.Conn
 	node      string
-	token     string // presented; empty for none
+	token     string // token to present; empty means none
 	openedAt  time.Time
 	reader    *bufio.Reader
 	requestID string
 }
 
-// connect makes one connection and follows it to its end. It returns the token to present next, if
-// there is one, and the backoff before.
+// connect opens one connection and follows it to its end. It returns the token to present on the next
+// connection, which is empty if there is none, and the backoff before that connection.
 func (c *Client) connect(ctx context.Context, token string) (next string, backoff time.Duration) {
 	node, addr := c.Nodes.Pick(c.rng)
 	backoff = 20*time.Millisecond + time.Duration(c.rng.IntN(180))*time.Millisecond
@@ -66,7 +66,7 @@
 		if ms, err := strconv.Atoi(rest); err == nil && word == "BUSY" {
 			backoff += time.Duration(ms) * time.Millisecond
 		}
-		return token, backoff // as far as this answer tells, the token is not used up
+		return token, backoff // the token was not used up as far as the client can tell from this answer
 	}
 	next = cc.follow(ctx, strings.HasSuffix(answer, " rs=1"))
 	c.mu.Lock()
@@ -75,11 +75,11 @@
 	return next, backoff
 }
 
-// open sends the first line and returns its final answer; false if there was none.
+// open sends the first line and returns its final answer. It returns false if there was none.
 func (c *connection) open(ctx context.Context) (answer string, ok bool) {
-	// A failed write shows as the answer that does not come.
+	// A failed write shows as a missing answer.
 	_, _ = fmt.Fprintf(c.Conn, "OPEN %s %s %s\r\n", c.requestID, c.Key, c.parameters())
-	_ = c.SetReadDeadline(c.openedAt.Add(c.AnswerTimeout + readSlack))
+	_ = c.SetReadDeadline(c.openedAt.Add(c.AnswerTimeout + lateAnswerWindow))
 	answer, err := c.reader.ReadString('\n')
 	took := time.Since(c.openedAt)
 	if ctx.Err() != nil {
@@ -92,7 +92,7 @@
 		return "", false
 	}
 	answer = strings.TrimRight(answer, "\r\n")
-	if took > c.AnswerTimeout+answerSlack {
+	if took > c.AnswerTimeout+answerTolerance {
 		c.violation(ruleOneAnswer, "%q came after %v", answer, took)
 	}
 	word, _, _ := strings.Cut(answer, " ")
@@ -100,7 +100,7 @@
 	return answer, true
 }
 
-// parameters returns the parameters of the first line.
+// parameters returns the parameters of the first line, with the client's token and position.
 func (c *connection) parameters() string {
 	text := fmt.Sprintf("c=%s,d=%d,g=%s", c.Class, c.AnswerTimeout.Milliseconds(), c.Group)
 	if c.WithoutResumption {
@@ -119,14 +119,14 @@
 	return text
 }
 
-// expectEnd checks that nothing follows a final answer other than UP.
+// expectEnd checks that no line follows a final answer other than UP.
 func (c *connection) expectEnd(answer string) {
 	if extra, err := c.reader.ReadString('\n'); err == nil {
 		c.violation(ruleOneAnswer, "%q after %q", extra, answer)
 	}
 }
 
-// violation reports a broken rule with the client's key and the node.
+// violation reports a violation of a rule, with the client's key and the name of the node.
 func (c *connection) violation(rule, format string, args ...any) {
 	c.Observer.AddViolation(rule, fmt.Sprintf("%s at %s: ", c.Key, c.node)+fmt.Sprintf(format, args...))
 }
--- a/internal/fake/client_stream.go
+++ b/internal/fake/client_stream.go
@@ -14,23 +14,23 @@
 
 const (
 	streamStartTimeout = 3 * time.Second // from UP to the first line of the stream
-	lineTimeout        = 8 * time.Second // between two lines
+	lineTimeout        = 8 * time.Second // between two consecutive lines
 	heartbeatInterval  = 2 * time.Second
 	writeTimeout       = time.Second
 )
 
 var errUnexpectedLine = errors.New("unexpected line")
 
-// streamReader is how far a client has read the stream of one connection.
+// streamReader is the state of a client's reading of the stream of one connection.
 type streamReader struct {
 	*connection
 	upAt      time.Time
 	hasBegun  bool
-	itemsLeft int // of the snapshot
+	itemsLeft int // items of the snapshot that are still to come
 }
 
-// follow reads an established connection to its end and returns the token that a MOVE brought.
-// hasStream says that the answer promised a stream.
+// follow reads an established connection to its end. It returns the token of the MOVE that ended the
+// connection, or an empty one. hasStream reports whether the final answer announced a stream.
 func (c *connection) follow(ctx context.Context, hasStream bool) (token string) {
 	if hasStream {
 		_ = c.SetReadDeadline(time.Now().Add(streamStartTimeout))
@@ -72,7 +72,7 @@
 func (c *connection) sendHeartbeats(ctx context.Context) {
 	for n := 0; Sleep(ctx, heartbeatInterval); n++ {
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, _ = fmt.Fprintf(c.Conn, "HI %d\r\n", n) // the reader sees that a connection is broken
+		_, _ = fmt.Fprintf(c.Conn, "HI %d\r\n", n) // the reader notices a broken connection
 	}
 }
 
@@ -81,11 +81,11 @@
 		c.Observer.Moved(c.Key, c.Group, token)
 	} else if token != "" {
 		detail := fmt.Sprintf("%s: %q to a client that did not ask", c.Key, line)
-		c.Observer.AddViolation(ruleUnasked, detail)
+		c.Observer.AddViolation(ruleUnrequested, detail)
 	}
 }
 
-// handleLine applies one line of the stream to what the client has.
+// handleLine applies one line of the stream to the client's state.
 func (s *streamReader) handleLine(word string, fields []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 	return errUnexpectedLine
 }
 
-// begin notes that the stream has begun; the lock is held.
+// begin records and reports the start of the stream. The caller holds the lock.
 func (s *streamReader) begin(resumed bool, now time.Time) {
 	gap := time.Duration(0)
 	if !s.lastLineAt.IsZero() {
@@ -176,7 +176,7 @@
 	return listing, version, errors.Join(listingErr, versionErr)
 }
 
-// setVersion sets the version of a listing, which must not go back.
+// setVersion sets the version of a listing. A version lower than the current one is an error.
 func (s *streamReader) setVersion(listing int, version uint64) error {
 	if version < s.versions[listing] {
 		return fmt.Errorf("listing %d goes back from version %d", listing, s.versions[listing])
--- a/internal/fake/crowd.go
+++ b/internal/fake/crowd.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// crowdWait is for how long discovery lets a call wait while it is crowded; then it is answered 503.
-	crowdWait = 2 * time.Second
-	// crowdServedShare is the share of the calls whose turn comes before that, and crowdRejectedShare that of those
-	// for which there is no place in the queue: they are answered 503 at once.
-	crowdServedShare, crowdRejectedShare = 1.0 / 3, 1.0 / 3
+	// overloadMaxWait is how long a call waits in the queue of an overloaded discovery before it is
+	// answered 503.
+	overloadMaxWait = 2 * time.Second
+	// overloadServedShare is the share of calls that are served within overloadMaxWait.
+	// overloadRejectedShare is the share that finds the queue full and is answered 503 at once.
+	overloadServedShare, overloadRejectedShare = 1.0 / 3, 1.0 / 3
 )
 
-// SetOverloaded has discovery be kept busy by other callers from now on, or no longer. Watches that stand go on; calls
-// wait for their turn, and most in vain, or find no place in the queue.
-func (d *Discovery) SetOverloaded(isCrowded bool) { d.isCrowded.Store(isCrowded) }
+// SetOverloaded sets whether discovery is overloaded by other callers. While it is, established
+// watches continue, but new calls are queued: some are served, the others are answered 503 after the
+// wait, or at once because the queue is full.
+func (d *Discovery) SetOverloaded(isOverloaded bool) { d.isOverloaded.Store(isOverloaded) }
 
-// awaitTurn waits for a call's turn. It returns false if the call has no turn: it was answered, or its client has gone.
-func (d *Discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
-	if !d.isCrowded.Load() {
+// waitInQueue holds a call in the queue while discovery is overloaded. It returns false if the call is not
+// to be served, because it was answered 503 or its client has disconnected.
+func (d *Discovery) waitInQueue(w http.ResponseWriter, r *http.Request) bool {
+	if !d.isOverloaded.Load() {
 		return true
 	}
-	wait, draw := crowdWait, rand.Float64()
-	isServed, isRejected := draw < crowdServedShare, draw >= 1-crowdRejectedShare
+	wait, draw := overloadMaxWait, rand.Float64()
+	isServed, isRejected := draw < overloadServedShare, draw >= 1-overloadRejectedShare
 	switch {
 	case isServed:
-		wait = rand.N(crowdWait)
+		wait = rand.N(overloadMaxWait)
 	case isRejected:
 		wait = 0
 	}
--- a/internal/fake/datagram_client.go
+++ b/internal/fake/datagram_client.go
@@ -15,15 +15,15 @@
 // spoofedSources is how many source addresses a spoofed flood uses.
 const spoofedSources = 1 << 20
 
-// ProbeFlow is one flow from a source address of its own, so that it can't be confused with another
-// flow. It sends a number of datagrams, each when the one before was answered and the interval is
-// over, or the interval has passed without an answer. It returns how many were answered, and
-// whatever else was received.
+// ProbeFlow runs one flow from a source address of its own, so that it can't be confused with another
+// flow. It sends datagrams one after another. Once a datagram was answered, the next one is sent after
+// the rest of the interval; without an answer, the next one is sent when the interval has passed.
+// ProbeFlow returns how many datagrams were answered, and the replies that belong to other flows.
 func ProbeFlow(
 	ctx context.Context, to, name string, number uint32, datagrams int, interval time.Duration,
 ) (answered int, unexpected []string) {
 	from := sourceAddr(number)
-	from.Port = probeFlowPort // the same client's again when its number comes again
+	from.Port = probeFlowPort // fixed, so that a repeated number is the same client again
 	conn, err := (&net.Dialer{LocalAddr: from}).DialContext(ctx, "udp", to)
 	if err != nil {
 		return 0, nil
@@ -56,7 +56,7 @@
 	return answered, unexpected
 }
 
-// RunSteadyFlow is one flow that sends a datagram at each interval until ctx ends. It counts the
+// RunSteadyFlow runs one flow that sends a datagram in each interval until ctx ends. It counts the
 // datagrams that it sent and those that were answered.
 func RunSteadyFlow(
 	ctx context.Context, to, name string, number uint32, interval time.Duration, sent, answered *atomic.Int64,
@@ -89,8 +89,8 @@
 	}
 }
 
-// Flood opens a flow for each datagram as fast as it can until ctx ends: from changing source
-// addresses if spoof is set, else from one. It returns how many datagrams it sent.
+// Flood sends datagrams as fast as it can until ctx ends, each in a new flow: from changing source
+// addresses if spoof is true, else from one address. It returns how many datagrams it sent.
 func Flood(ctx context.Context, to, name string, number uint32, spoof bool) (sent int) {
 	for ; ctx.Err() == nil; sent++ {
 		source := number
@@ -102,7 +102,7 @@
 			continue
 		}
 		id := sent
-		if !spoof { // a flow is an address and a port, which may come again
+		if !spoof { // a flow is identified by address and port, and the system may reuse the port
 			id = conn.LocalAddr().(*net.UDPAddr).Port
 		}
 		_, _ = fmt.Fprintf(conn, "%s%d 0", name, id)
@@ -111,7 +111,7 @@
 	return sent
 }
 
-// sourceAddr returns the loopback address of a number.
+// sourceAddr returns the loopback address that belongs to a number.
 func sourceAddr(number uint32) *net.UDPAddr {
 	return &net.UDPAddr{IP: net.IPv4(127, 1+byte(number>>16)%250, byte(number>>8), byte(number))}
 }
--- a/internal/fake/datagram_server.go
+++ b/internal/fake/datagram_server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Datagram is a datagram as a server saw it: "FLOW SEQUENCE", and more.
+// Datagram is a datagram that a server received. Its text starts with "FLOW SEQUENCE".
 type Datagram struct {
 	Server, Node, Flow, Seq string
 	At                      time.Time
@@ -23,7 +23,7 @@
 	flowIdleTimeout    = 500 * time.Millisecond
 )
 
-// flows counts the flows that have sent of late, for the load report.
+// flows counts the flows that sent a datagram within flowIdleTimeout, for the load report.
 type flows struct {
 	mu      sync.Mutex
 	lastAt  map[string]time.Time // by flow
@@ -53,7 +53,7 @@
 	return len(f.lastAt)
 }
 
-// listenUDP opens an address for datagrams, which it reports and echoes until ctx ends.
+// listenUDP listens for datagrams on an address, and reports and echoes them until ctx ends.
 func (s *Server) listenUDP(ctx context.Context, node, addr string) error {
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -86,14 +86,14 @@
 		if s.ignoresDatagrams.Load() {
 			continue
 		}
-		_, _ = conn.WriteToUDPAddrPort(datagram, from) // with its PROXY header, if it has one
+		_, _ = conn.WriteToUDPAddrPort(datagram, from) // including its PROXY header, if any
 		if s.DelayedReplyShare > 0 && rand.Float64() < s.DelayedReplyShare {
 			echoLater(conn, bytes.Clone(datagram), from)
 		}
 	}
 }
 
-// echoLater echoes a datagram once more after 1.2 to 4 seconds.
+// echoLater echoes a datagram a second time after 1.2 to 4 seconds.
 func echoLater(conn *net.UDPConn, datagram []byte, to netip.AddrPort) {
 	delay := time.Duration((1.2 + 2.8*rand.Float64()) * float64(time.Second))
 	time.AfterFunc(delay, func() {
@@ -101,7 +101,7 @@
 	})
 }
 
-// proxyHeaderLen returns the length of a datagram's PROXY protocol v2 header, 0 if it has none.
+// proxyHeaderLen returns the length of a datagram's PROXY protocol v2 header, or 0 if it has none.
 func proxyHeaderLen(datagram []byte) int {
 	const (
 		signature = "\r\n\r\n\x00\r\nQUIT\n"
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// defaultZone is the zone of the servers that SetZone has set none for.
+	// defaultZone is the zone of servers for which SetZone was not called.
 	defaultZone = "a"
-	// watchHeartbeat is how long a watch is idle before it sends an empty line.
+	// watchHeartbeat is how long a watch is idle before discovery sends an empty line on it.
 	watchHeartbeat = 2 * time.Second
 )
 
-// The lifecycles of an instance.
+// Lifecycles of an instance.
 const (
 	Active  = "active"
 	Leaving = "leaving"
 	Left    = "left"
 )
 
-// Instance is one entry of the endpoint list in discovery's JSON.
+// Instance is one entry of the endpoint list in the JSON of discovery.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -38,22 +38,22 @@
 	addrs map[string]string // by node
 }
 
-// update is what discovery sends: the full list where Reset is set, else the changes.
+// update is a message of discovery: the full list if Reset is true, else the changes.
 type update struct {
 	Generation int64      `json:"generation"`
 	Instances  []Instance `json:"instances"`
 	Reset      bool       `json:"reset"`
 }
 
-// change is one change of the list.
+// change is one change of the endpoint list.
 type change struct {
 	at         time.Time
 	generation int64
 	instance   Instance
 }
 
-// Discovery is the service that has the endpoint list. Each node polls it at an address of its own,
-// so that it is known what each node was notified of, and when.
+// Discovery is a fake discovery service with the endpoint list. Each node polls it at an address of
+// its own, so that Discovery can record what each node was notified of, and when.
 type Discovery struct {
 	mu         sync.Mutex
 	generation int64
@@ -61,15 +61,15 @@
 	zones      map[string]string // by server
 	changes    []change
 	changed    chan struct{}                   // closed at the next change
-	notifiedAt map[string]map[string]time.Time // by node and server: when it was notified that it leaves
+	notifiedAt map[string]map[string]time.Time // by node and server: first notice of a drain or removal
 	writes     map[string][]Write              // by node
-	troubles   map[string]DiscoveryFault       // by node
+	faults     map[string]DiscoveryFault       // by node
 	servers    []*http.Server
 
-	isCrowded atomic.Bool
+	isOverloaded atomic.Bool
 }
 
-// NewDiscovery returns a discovery with an empty list.
+// NewDiscovery returns a discovery service with an empty endpoint list.
 func NewDiscovery() *Discovery {
 	return &Discovery{
 		instances:  map[string]Instance{},
@@ -77,11 +77,11 @@
 		changed:    make(chan struct{}),
 		notifiedAt: map[string]map[string]time.Time{},
 		writes:     map[string][]Write{},
-		troubles:   map[string]DiscoveryFault{},
+		faults:     map[string]DiscoveryFault{},
 	}
 }
 
-// Listen opens the address at which node polls.
+// Listen opens the address at which a node polls, and returns it.
 func (d *Discovery) Listen(node string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,15 +107,16 @@
 	}
 }
 
-// SetZone sets the zone of a server before it is listed. Without it a server is in zone a.
+// SetZone sets the zone of a server. It must be called before Set adds the server to the list. The
+// default is zone a.
 func (d *Discovery) SetZone(id, zone string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zones[id] = zone
 }
 
-// Set adds an instance to the list or changes it; Left removes it. addrs are the server's addresses
-// by node; nil keeps them.
+// Set adds an instance to the list or changes it; the lifecycle Left removes it. addrs are the server's
+// addresses by node; nil keeps the current ones.
 func (d *Discovery) Set(id, lifecycle string, started time.Time, addrs map[string]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,8 +140,8 @@
 	d.changed = make(chan struct{})
 }
 
-// updateSince returns the update for a node that has the list of generation from, and a channel
-// that is closed at the next change.
+// updateSince returns the update for a node whose list is at generation from, and a channel that is
+// closed at the next change.
 func (d *Discovery) updateSince(node string, from int64) (u update, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,25 +164,26 @@
 	return u, d.changed
 }
 
-// serve answers one poll, and goes on with changes and heartbeats if it is a watch.
+// serve answers one poll. If the poll is a watch, serve then sends changes and heartbeats until the
+// client disconnects.
 func (d *Discovery) serve(node string, w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	isWatch := r.FormValue("watch") == "1"
 	if !isWatch {
 		from = 0
 	}
-	if !d.awaitTurn(w, r) {
+	if !d.waitInQueue(w, r) {
 		return
 	}
 	flusher, _ := w.(http.Flusher)
 	w.Header().Set("Content-Type", "application/json")
 	for first := true; ; first = false {
-		if trouble := d.trouble(node); trouble != NoDiscoveryFault {
-			if first || trouble == Down {
-				serveInTrouble(trouble, w, r)
+		if fault := d.fault(node); fault != NoDiscoveryFault {
+			if first || fault == Down {
+				serveFault(fault, w, r)
 				return
 			}
-			<-r.Context().Done() // the watch falls silent
+			<-r.Context().Done() // a faulty watch stays open without sending anything
 			return
 		}
 		u, changed := d.updateSince(node, from)
@@ -194,7 +196,7 @@
 				return
 			}
 			flusher.Flush()
-			d.recordNotified(node, u) // less than a millisecond late, in the node's favour
+			d.recordNotified(node, u) // less than 1 ms late, which favours the node in checks
 			from = u.Generation
 		}
 		if !isWatch {
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -1,21 +1,21 @@
 package fake
 
-// FaultMode is how a server fails while its process runs.
+// FaultMode is the way in which a server fails while its process is running.
 type FaultMode int32
 
-// The fault modes.
+// Fault modes of a server.
 const (
 	Healthy       FaultMode = iota
-	AnswersErrors           // every first line is answered ERR; health checks and load probes succeed
-	AnswersBusy             // every first line is answered BUSY; health checks and load probes succeed
-	Unresponsive            // nothing is answered any more
+	AnswersErrors           // each first line is answered with ERR; health checks and load probes succeed
+	AnswersBusy             // each first line is answered with BUSY; health checks and load probes succeed
+	Unresponsive            // nothing is answered
 )
 
-// SetFault has the server fail in a way, or work again.
+// SetFault sets the fault mode of the server; Healthy ends a fault.
 func (s *Server) SetFault(mode FaultMode) { s.fault.Store(int32(mode)) }
 
 func (s *Server) faultMode() FaultMode { return FaultMode(s.fault.Load()) }
 
-// SetDatagramsUnanswered has the server accept datagrams and answer none, while its health checks
-// and load probes succeed; or ends that.
+// SetDatagramsUnanswered sets whether the server leaves datagrams unanswered. Its health checks and load
+// probes succeed in either case.
 func (s *Server) SetDatagramsUnanswered(on bool) { s.ignoresDatagrams.Store(on) }
--- a/internal/fake/feed.go
+++ b/internal/fake/feed.go
@@ -14,18 +14,18 @@
 	At      time.Time
 }
 
-// Feed is the state that all servers stream: listings in groups, whose versions only grow. Each
-// group is a log of changes, numbered from 1. It is safe for concurrent use.
+// Feed is the state that all servers stream: groups of listings, whose versions only increase. Each
+// group has a log of changes, numbered from 1. A Feed is safe for concurrent use.
 type Feed struct {
-	Listings int // in each group
+	Listings int // number of listings in each group
 
 	mu     sync.Mutex
-	names  []string            // of the groups
-	groups map[string][]Change // by name: the log
+	names  []string            // names of the groups
+	groups map[string][]Change // log of changes by group name
 	rng    *rand.Rand
 }
 
-// NewFeed returns a feed of groups g0, g1, ... with a number of listings each.
+// NewFeed returns a feed of groups g0, g1, ... with the given number of listings in each.
 func NewFeed(groups, listings int, seed uint64) *Feed {
 	f := &Feed{
 		Listings: listings,
@@ -42,7 +42,7 @@
 	return f
 }
 
-// Step changes one listing of one group.
+// Step adds a new version of a random listing of a random group.
 func (f *Feed) Step() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,7 +52,7 @@
 	f.groups[group] = append(log, Change{listing, uint64(len(log)) + 1, time.Now()})
 }
 
-// Head returns how many changes a group had at a time.
+// Head returns the number of changes that a group had at a time.
 func (f *Feed) Head(group string, at time.Time) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,7 +64,7 @@
 	return uint64(n)
 }
 
-// Changes returns the changes of a group after number from, up to number to.
+// Changes returns the changes of a group with numbers above from, up to and including to.
 func (f *Feed) Changes(group string, from, to uint64) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 	return log[from:to:to] // entries never change once written
 }
 
-// State returns the version of each listing of a group after head changes.
+// State returns the version of each listing of a group after its first head changes.
 func (f *Feed) State(group string, head uint64) []uint64 {
 	state := make([]uint64, f.Listings)
 	for _, c := range f.Changes(group, 0, head) {
--- a/internal/fake/notified.go
+++ b/internal/fake/notified.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ListChange is a change of one server that discovery has had since a time.
+// ListChange is a change of one server in the endpoint list, with the time at which discovery got it.
 type ListChange struct {
 	At         time.Time
 	Generation int64
@@ -10,13 +10,13 @@
 	Lifecycle  string
 }
 
-// Write is what discovery has written to a node: all changes up to a generation.
+// Write records that discovery has written all changes up to a generation to a node.
 type Write struct {
 	At         time.Time
 	Generation int64
 }
 
-// Changes are all changes of a server, in order.
+// Changes returns all changes of a server, in order.
 func (d *Discovery) Changes(server string) (changes []ListChange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,22 +28,22 @@
 	return changes
 }
 
-// Writes are what was written to a node, in order.
+// Writes returns the writes to a node, in order.
 func (d *Discovery) Writes(node string) []Write {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]Write(nil), d.writes[node]...)
 }
 
-// NotifiedAt is when node was notified that the server drains or is gone. It is zero if it was not,
-// or has been notified since that the server is back.
+// NotifiedAt returns the time at which a node was notified that a server drains or has left. It is zero
+// if the node was not notified, or was notified later that the server is active again.
 func (d *Discovery) NotifiedAt(node, server string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.notifiedAt[node][server]
 }
 
-// recordNotified records what a node was sent.
+// recordNotified records an update that was sent to a node.
 func (d *Discovery) recordNotified(node string, sent update) {
 	now := time.Now()
 	d.mu.Lock()
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -13,30 +13,31 @@
 	"coralrelay/internal/loopback"
 )
 
-// ServerOptions say how a server behaves.
+// ServerOptions configures a server.
 type ServerOptions struct {
 	Name     string
-	Feed     *Feed // nil for a server without streams
+	Feed     *Feed // nil means a server without streams
 	Observer ServerObserver
-	Lag      time.Duration // how far it is behind the feed
-	History  int           // how many changes of a group it can send again
-	Capacity int           // the number of connections at which it reports a load of 1
+	Lag      time.Duration // how far the server is behind the feed
+	History  int           // how many changes of a group the server can replay to resume a stream
+	Capacity int           // number of connections at which the server reports a load of 1
 
-	// IgnoreEpoch has it take a position of any epoch for one of its own, which is a fault. It is
-	// for a mutation.
+	// IgnoreEpoch makes the server treat a position of any epoch as one of its own, which is wrong. A
+	// mutation uses it.
 	IgnoreEpoch bool
 
-	// Datagrams is called for each datagram. With it the server takes datagrams at the ports of its
-	// listeners and echoes them.
+	// Datagrams is called for each datagram. If it is not nil, the server receives datagrams on the
+	// ports of its listeners and echoes them.
 	Datagrams         func(d Datagram)
-	DelayedReplyShare float64 // the share of the datagrams that it echoes a second time, seconds later
+	DelayedReplyShare float64 // share of the datagrams that are echoed a second time, seconds later
 }
 
-// Server is a server of the feed. While it runs it listens at one address for each node.
+// Server is a fake server that streams a feed. While it is running, it listens on one address for each
+// node.
 type Server struct {
 	ServerOptions
 
-	forcedLoad       atomic.Int64 // in thousandths; 0 for the server's own
+	forcedLoad       atomic.Int64 // in thousandths; 0 means that the measured load is reported
 	probes           atomic.Int64
 	fault            atomic.Int32 // a FaultMode
 	ignoresDatagrams atomic.Bool
@@ -51,24 +52,26 @@
 	addrs      map[string]string // by node
 	streams    map[*stream]struct{}
 	epoch      uint64
-	base       map[string]uint64 // by group: the feed's number of its own offset 0; nil for the feed's numbers
+	// base has, by group, the number in the feed of the server's offset 0. It is nil in the first epoch,
+	// in which offsets are the numbers in the feed.
+	base map[string]uint64
 }
 
-// feedEpoch is the epoch of the servers until they restart.
-const feedEpoch = 0xc0
+// initialEpoch is the epoch of each server until it restarts.
+const initialEpoch = 0xc0
 
-// NewServer returns a server that does not run yet.
+// NewServer returns a server without starting it.
 func NewServer(o ServerOptions) *Server {
 	return &Server{
 		ServerOptions: o,
 		addrs:         map[string]string{},
-		epoch:         feedEpoch,
+		epoch:         initialEpoch,
 		streams:       map[*stream]struct{}{},
 	}
 }
 
-// listen opens an address, or a new one below the ephemeral ports: the address has to be free again
-// when the server restarts on it.
+// listen listens on addr or, if it is empty, on a new address. The port of a new address is below the
+// ephemeral ports, so that the address is still free when the server restarts on it.
 func listen(addr string) (net.Listener, error) {
 	if addr != "" {
 		return net.Listen("tcp", addr)
@@ -76,9 +79,8 @@
 	return loopback.Listen()
 }
 
-// Start runs the server, on the addresses that it had before if it had some. From its second start
-// on it has an epoch of its own, as a server that has lost its numbering. It returns the addresses
-// by node.
+// Start starts the server and returns its addresses by node. A restart reuses the addresses of the
+// first start and begins a new epoch, like a server that has lost its numbering.
 func (s *Server) Start(nodes []string) (addrs map[string]string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +98,7 @@
 	return s.addrs, nil
 }
 
-// listenFor opens the server's address for one node; the lock is held.
+// listenFor opens the server's address for one node. The caller holds the lock.
 func (s *Server) listenFor(ctx context.Context, node string) error {
 	l, err := listen(s.addrs[node])
 	if err != nil {
@@ -111,11 +113,12 @@
 	return s.listenUDP(ctx, node, s.addrs[node])
 }
 
-// beginEpoch numbers the changes from now on; the lock is held.
+// beginEpoch begins a new epoch, in which the changes are numbered from now on. The caller holds the
+// lock.
 func (s *Server) beginEpoch() {
-	s.epoch = feedEpoch + uint64(s.starts)<<16 + uint64(time.Now().UnixNano())<<24
+	s.epoch = initialEpoch + uint64(s.starts)<<16 + uint64(time.Now().UnixNano())<<24
 	s.base = map[string]uint64{}
-	s.Lag = 0 // it has just loaded the complete state
+	s.Lag = 0 // a restarted server has just loaded the complete state
 	if s.Feed == nil {
 		return
 	}
@@ -124,7 +127,7 @@
 	}
 }
 
-// Kill ends the server as a killed process ends: its connections are reset.
+// Kill stops the server like a killed process: its connections are reset.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	s.isRunning = false
@@ -136,8 +139,8 @@
 	s.wg.Wait()
 }
 
-// Drain makes the server refuse new connections. Unless moveWithin is 0, it also sends its clients
-// MOVE, evenly over that time.
+// Drain makes the server refuse new connections. If moveWithin is not 0, the server also sends MOVE to
+// its clients, spread evenly over that time.
 func (s *Server) Drain(moveWithin time.Duration) {
 	s.mu.Lock()
 	s.isDraining = true
@@ -154,17 +157,17 @@
 	})
 }
 
-// Undrain accepts connections again.
+// Undrain makes the server accept connections again.
 func (s *Server) Undrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isDraining = false
 }
 
-// SetLoad has the server report a load in place of its own; 0 ends that.
+// SetLoad sets the load that the server reports; 0 restores the measured load.
 func (s *Server) SetLoad(load float64) { s.forcedLoad.Store(int64(load * 1000)) }
 
-// OpenConnections returns how many connections are established.
+// OpenConnections returns the number of established connections.
 func (s *Server) OpenConnections() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +217,7 @@
 	return fmt.Sprintf("PONG inflight=%d,x0=%.3f,latency_ms=%.2f", inFlight, load, 2+load)
 }
 
-// admit reports whether the server accepts a first line, and if so establishes the connection.
+// admit reports whether the server accepts a first line. If it does, the connection is established.
 func (s *Server) admit(c *stream, key, group string) bool {
 	open := s.OpenConnections()
 	s.mu.Lock()
--- a/internal/fake/stream.go
+++ b/internal/fake/stream.go
@@ -18,15 +18,15 @@
 
 var errRefused = errors.New("refused")
 
-// stream is the server's side of one connection.
+// stream is the server side of one connection.
 type stream struct {
 	server     *Server
 	node       string
 	conn       net.Conn
 	key, group string // guarded by the server's lock; set when the connection is established
 
-	mu   sync.Mutex // one write at a time
-	sent uint64     // changes of the feed sent so far
+	mu   sync.Mutex // serializes writes
+	sent uint64     // number in the feed of the last change sent
 }
 
 // send writes one line.
@@ -36,7 +36,7 @@
 	return c.write(fmt.Sprintf(format, args...) + "\r\n")
 }
 
-// write writes text; the lock is held.
+// write writes text. The caller holds the lock.
 func (c *stream) write(text string) error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(serverWriteTimeout))
 	_, err := c.conn.Write([]byte(text))
@@ -68,7 +68,7 @@
 			c.server.probes.Add(1)
 		}
 		if c.server.faultMode() == Unresponsive {
-			// Who sends to an unresponsive server is to be seen all the same.
+			// The observer must see first lines sent to an unresponsive server, too.
 			if request, ok := parseOpen(rest); ok && word == "OPEN" {
 				c.observeOpened(request)
 			}
@@ -101,12 +101,12 @@
 	return c.send("SYNTAX")
 }
 
-// openRequest is a first line.
+// openRequest is a parsed first line.
 type openRequest struct {
 	id, key, parameters string
 }
 
-// parseOpen parses what follows OPEN; false if it is malformed.
+// parseOpen parses the arguments of OPEN. It returns false if they are malformed.
 func parseOpen(rest string) (request openRequest, ok bool) {
 	words := strings.Split(rest, " ")
 	if len(words) != 3 {
@@ -134,7 +134,7 @@
 			group = value
 		case "rs":
 			if value != "1" {
-				return c.send("SYNTAX") // a node must not pass a token on
+				return c.send("SYNTAX") // a node must not forward a token to a server
 			}
 			answer += " rs=1"
 		}
--- a/internal/fake/stream_resume.go
+++ b/internal/fake/stream_resume.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// catchUpTimeout is how long a server that is behind waits for what a client has seen.
+	// catchUpTimeout is how long a lagging server waits for the changes that a client has already seen.
 	catchUpTimeout  = time.Second
 	catchUpInterval = 5 * time.Millisecond
 	updateInterval  = 10 * time.Millisecond
 )
 
-// startRequest is a START line.
+// startRequest is a parsed START line.
 type startRequest struct {
-	resumeAt *resumetoken.Position // nil for a snapshot
-	seen     *resumetoken.Position // the snapshot must not be older
-	seenAt   time.Time             // when the client had seen it
-	nonce    string                // of the token
+	resumeAt *resumetoken.Position // nil requests a snapshot
+	seen     *resumetoken.Position // position that the client has seen; a snapshot must not be older
+	seenAt   time.Time             // time at which the client had reached that position
+	nonce    string                // nonce of the token
 }
 
-// parseStart parses what follows START.
+// parseStart parses the arguments of START.
 func parseStart(rest string) (request startRequest, err error) {
 	for word := range strings.SplitSeq(rest, " ") {
 		name, value, _ := strings.Cut(word, "=")
@@ -49,14 +49,14 @@
 	return request, nil
 }
 
-// numbering is how a server numbers the changes of one group, and how many it knows.
+// numbering maps a server's offsets in one group to the numbers of changes in the feed.
 type numbering struct {
 	epoch uint64
-	base  uint64 // the feed's number of offset 0
-	head  uint64 // the feed's number of the last change known
+	base  uint64 // number in the feed of offset 0
+	head  uint64 // number in the feed of the last change that the server has
 }
 
-// numberingOf returns the present numbering of a group.
+// numberingOf returns the current numbering of a group.
 func (s *Server) numberingOf(group string) numbering {
 	now := time.Now()
 	s.mu.Lock()
@@ -64,16 +64,15 @@
 	return numbering{s.epoch, s.base[group], s.Feed.Head(group, now.Add(-s.Lag))}
 }
 
-// knownUntil is the time up to which the server knows the feed.
+// knownUntil returns the time up to which the server has the changes of the feed.
 func (s *Server) knownUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Add(-s.Lag)
 }
 
-// handleStart answers START: it resumes the stream where that is possible, and else sends a
-// snapshot, for which a server that is behind waits until it has caught up with what the client has
-// seen.
+// handleStart answers START. It resumes the stream if that is possible and otherwise sends a snapshot.
+// Before a snapshot, a lagging server waits until it has the changes that the client has seen.
 func (c *stream) handleStart(ctx context.Context, rest string) error {
 	request, err := parseStart(rest)
 	if err != nil {
@@ -98,8 +97,8 @@
 	return c.write(text)
 }
 
-// canResume reports whether the server has all changes after a position, or will have them: a
-// position beyond the server's own is one that it will reach.
+// canResume reports whether the server can send all changes after a position. That includes a position
+// beyond the server's head, because a lagging server will reach it.
 func (s *Server) canResume(n numbering, at *resumetoken.Position) bool {
 	if at == nil || at.Epoch != n.epoch && !s.IgnoreEpoch {
 		return false
@@ -108,7 +107,7 @@
 	return have >= n.head || n.head-have <= uint64(s.History)
 }
 
-// resume sends the changes after a position.
+// resume answers START with RESUMED and the changes after a position.
 func (c *stream) resume(at resumetoken.Position, n numbering, started Started) error {
 	have := at.Offset + n.base
 	text := fmt.Sprintf("RESUMED %v\r\n", at)
@@ -122,10 +121,10 @@
 	return c.write(text)
 }
 
-// catchUp waits until the server has what the client has seen, or the catchUpTimeout has passed, and
-// returns the numbering of the group by then.
+// catchUp waits until the server has the changes that the client has seen, or until catchUpTimeout has
+// passed. It returns the numbering of the group at that time.
 func (c *stream) catchUp(ctx context.Context, request startRequest, n numbering) (numbering, error) {
-	for begun := time.Now(); request.seen != nil && time.Since(begun) < catchUpTimeout; {
+	for startedAt := time.Now(); request.seen != nil && time.Since(startedAt) < catchUpTimeout; {
 		if c.server.hasSeen(request, n) {
 			break
 		}
@@ -137,8 +136,8 @@
 	return n, nil
 }
 
-// hasSeen reports whether the server knows what the client has seen: by its offset in the same
-// epoch, and else by the time.
+// hasSeen reports whether the server has the changes that the client has seen. It compares offsets if
+// the epoch is the same, and times otherwise.
 func (s *Server) hasSeen(request startRequest, n numbering) bool {
 	if request.seen.Epoch == n.epoch {
 		return request.seen.Offset+n.base <= n.head
@@ -146,7 +145,7 @@
 	return !s.knownUntil().Before(request.seenAt)
 }
 
-// snapshot returns the state of the group as the server knows it.
+// snapshot returns the lines of a snapshot of the group at the head of the numbering.
 func (c *stream) snapshot(n numbering) string {
 	state := c.server.Feed.State(c.group, n.head)
 	var b strings.Builder
@@ -157,7 +156,7 @@
 	return b.String()
 }
 
-// formatUpdates returns the lines of changes that follow an offset.
+// formatUpdates returns the UPD lines of the changes that follow an offset.
 func formatUpdates(changes []Change, offset uint64) string {
 	var b strings.Builder
 	for i, c := range changes {
@@ -166,7 +165,7 @@
 	return b.String()
 }
 
-// sendUpdates sends changes as they come, until the connection ends.
+// sendUpdates sends new changes at each updateInterval until ctx ends or a write fails.
 func (c *stream) sendUpdates(ctx context.Context) {
 	for Sleep(ctx, updateInterval) {
 		n := c.server.numberingOf(c.group)
--- a/internal/fake/token_client.go
+++ b/internal/fake/token_client.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// PresentToken presents a token once, as a client of any key and group, and closes the connection
-// when it has seen how the stream begins. It returns the first word of the final answer and that of
-// the stream; empty where there was none.
+// PresentToken presents a token once, as a client with the given key and group, and closes the
+// connection after the first line of the stream. It returns the first words of the final answer and of
+// the stream; a word is empty if there was no such line.
 func PresentToken(
 	ctx context.Context, nodes NodePicker, rng *rand.Rand, key, group, class, token string, timeout time.Duration,
 ) (answer, stream string) {
@@ -22,10 +22,10 @@
 		return "", ""
 	}
 	defer func() { _ = conn.Close() }()
-	// A failed write shows as the answer that does not come.
+	// A failed write shows as a missing answer.
 	_, _ = fmt.Fprintf(conn, "OPEN p%x %s c=%s,d=%d,g=%s,rs=%s\r\n",
 		rng.Uint64(), key, class, timeout.Milliseconds(), group, token)
-	_ = conn.SetReadDeadline(time.Now().Add(timeout + readSlack))
+	_ = conn.SetReadDeadline(time.Now().Add(timeout + lateAnswerWindow))
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
 	if err != nil {
--- a/internal/fake/trouble.go
+++ b/internal/fake/trouble.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// DiscoveryFault is how discovery treats the calls of a node.
+// DiscoveryFault is the way in which discovery fails for the calls of one node.
 type DiscoveryFault int
 
-// The forms of trouble. In all but NoDiscoveryFault and Down the watches that stand fall silent.
+// Faults of discovery. With any fault but Down, established watches stay open and send nothing.
 const (
 	NoDiscoveryFault DiscoveryFault = iota
 	Unanswered                      // calls are accepted and never answered
-	LateUnavailable                 // calls are answered 503 after lateUnavailable
-	HeaderOnly                      // a header comes, and nothing else
-	TruncatedList                   // a header and the beginning of a list come, and nothing else
-	MalformedList                   // a list comes that is none
-	Down                            // watches end, and calls are reset
+	LateUnavailable                 // calls are answered 503 after lateUnavailableDelay
+	HeaderOnly                      // calls are answered with a header and nothing else
+	TruncatedList                   // calls are answered with a header and the beginning of a list
+	MalformedList                   // calls are answered with JSON that has no list
+	Down                            // watches end and calls are reset
 )
 
 const (
-	// lateUnavailable is longer than any call waits for an answer that is to be prompt.
-	lateUnavailable = 1500 * time.Millisecond
+	// lateUnavailableDelay is longer than the timeout of any call that must be answered promptly.
+	lateUnavailableDelay = 1500 * time.Millisecond
 )
 
-// SetFault has discovery treat the calls of a node in a way from now on.
-func (d *Discovery) SetFault(node string, trouble DiscoveryFault) {
+// SetFault sets the fault of discovery for the calls of a node; NoDiscoveryFault ends it.
+func (d *Discovery) SetFault(node string, fault DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.troubles[node] = trouble
+	d.faults[node] = fault
 	close(d.changed) // wakes the watches
 	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) trouble(node string) DiscoveryFault {
+func (d *Discovery) fault(node string) DiscoveryFault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.troubles[node]
+	return d.faults[node]
 }
 
-// serveInTrouble treats a call while its node's calls are in trouble. It returns when the client has gone.
-func serveInTrouble(trouble DiscoveryFault, w http.ResponseWriter, r *http.Request) {
-	switch trouble {
+// serveFault answers a call according to a fault. It returns when the call was answered with 503 or
+// its client has disconnected.
+func serveFault(fault DiscoveryFault, w http.ResponseWriter, r *http.Request) {
+	switch fault {
 	case Down:
 		panic(http.ErrAbortHandler) // resets the connection
 	case LateUnavailable:
 		select {
 		case <-r.Context().Done():
-		case <-time.After(lateUnavailable):
+		case <-time.After(lateUnavailableDelay):
 			http.Error(w, "", http.StatusServiceUnavailable)
 		}
 		return
@@ -61,7 +62,7 @@
 	<-r.Context().Done()
 }
 
-// writeAndFlush writes a part of a response's body, and the header if that was not written.
+// writeAndFlush writes a part of a response's body, preceded by the header if that was not yet sent.
 func writeAndFlush(w http.ResponseWriter, text string) {
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write([]byte(text))
