--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -85,7 +85,7 @@
 func (d *Discovery) Listen(node string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("discovery for node %s: %w", node, err)
+		return "", fmt.Errorf("listen for polls of node %s: %w", node, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { d.serve(node, w, r) })
--- a/internal/fake/feed.go
+++ b/internal/fake/feed.go
@@ -64,7 +64,7 @@
 	return uint64(n)
 }
 
-// Changes returns the changes of a group with numbers above from, up to and including to.
+// Changes returns the changes of a group whose numbers are greater than from and at most to.
 func (f *Feed) Changes(group string, from, to uint64) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scenario/testbed/agent.go
+++ b/internal/scenario/testbed/agent.go
@@ -15,7 +15,7 @@
 // Agent is a fleet member: the agent process that runs beside one node.
 type Agent struct {
 	*Process
-	Addr string // on which the agent serves its node and operators
+	Addr string // at which the agent serves its node and operators
 }
 
 // Call sends a request to the agent's operator interface and decodes the answer into the value that
--- a/internal/scenario/testbed/budget.go
+++ b/internal/scenario/testbed/budget.go
@@ -16,7 +16,7 @@
 }
 
 // BudgetUse returns how many sessions a server that started cold was sent, as multiples of its
-// budget: the peak over all windows of its ramp, and the mean from started until until.
+// budget: the peak over all windows of its ramp, and the mean over the time from started to until.
 func (bed *Testbed) BudgetUse(server string, started, until time.Time) (peak, mean float64) {
 	var arrivals []time.Time
 	for _, line := range bed.FirstLines(started, until) {
--- a/internal/scenario/testbed/clients.go
+++ b/internal/scenario/testbed/clients.go
@@ -27,6 +27,8 @@
 // from new clients.
 func (bed *Testbed) SetFirstVisitRate(times float64) { bed.setRate(times, false) }
 
+// setRate sets the transaction rate. extraReturning reports whether transactions beyond the usual rate
+// come from returning clients.
 func (bed *Testbed) setRate(times float64, extraReturning bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
--- a/internal/scenario/testbed/mutation.go
+++ b/internal/scenario/testbed/mutation.go
@@ -11,7 +11,7 @@
 // stands for no mutation and is valid.
 func CheckMutation(mutations map[string]string, name string) error {
 	if _, known := mutations[name]; name != "" && !known {
-		return fmt.Errorf("no mutation %q", name)
+		return fmt.Errorf("unknown mutation %q", name)
 	}
 	return nil
 }
@@ -23,7 +23,7 @@
 	binary = filepath.Join(dir, command+"-mutated")
 	build := exec.CommandContext(ctx, "go", "build", "-tags", "mutation", "-o", binary, "coralrelay/cmd/"+command)
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("build with -tags mutation, from the module's root: %w: %s", err, out)
+		return "", fmt.Errorf("build with -tags mutation in the module root: %w: %s", err, out)
 	}
 	return binary, nil
 }
--- a/internal/scenario/testbed/node.go
+++ b/internal/scenario/testbed/node.go
@@ -23,7 +23,7 @@
 // Node is a node that runs as a separate process.
 type Node struct {
 	NodeOptions
-	Addr    string // on which the node accepts clients
+	Addr    string // at which the node accepts clients
 	Process *Process
 
 	mu               sync.Mutex
@@ -41,7 +41,7 @@
 	for !n.accepts() {
 		select {
 		case <-done:
-			return fmt.Errorf("node %s ended at its start: %s", n.Name, n.Process.Tail())
+			return fmt.Errorf("node %s exited before it accepted clients: %s", n.Name, n.Process.Tail())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startPollInterval):
@@ -94,7 +94,7 @@
 		return nil
 	case <-time.After(terminateTimeout):
 		n.Kill()
-		return fmt.Errorf("%s did not end within 5 s of SIGTERM", n.Process.Name)
+		return fmt.Errorf("%s did not exit within 5 s of SIGTERM", n.Process.Name)
 	}
 }
 
--- a/internal/scenario/testbed/observed.go
+++ b/internal/scenario/testbed/observed.go
@@ -42,7 +42,8 @@
 // Started ignores streams, which no client of a testbed requests.
 func (bed *Testbed) Started(fake.Started) {}
 
-// FirstLines returns the first lines received from from up to but not including until, ordered by time.
+// FirstLines returns the first lines that were received at or after from and before until, in order of
+// time.
 func (bed *Testbed) FirstLines(from, until time.Time) (list []FirstLine) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
--- a/internal/scenario/testbed/play.go
+++ b/internal/scenario/testbed/play.go
@@ -68,6 +68,7 @@
 	}
 }
 
+// checkExit adds a violation if a process has exited by itself.
 func (bed *Testbed) checkExit(process *Process) {
 	if err := process.CheckExit(); err != nil {
 		bed.AddViolation("crash", err.Error())
