--- a/internal/fake/client_stream.go
+++ b/internal/fake/client_stream.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// sendHeartbeats sends HI at each heartbeatInterval until ctx ends.
 func (c *connection) sendHeartbeats(ctx context.Context) {
 	for n := 0; Sleep(ctx, heartbeatInterval); n++ {
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -76,6 +77,7 @@
 	}
 }
 
+// handleMove reports a MOVE. A client that did not request resumption must not receive a token.
 func (c *connection) handleMove(line, token string) {
 	if !c.WithoutResumption {
 		c.Observer.Moved(c.Key, c.Group, token)
--- a/internal/fake/datagram_client.go
+++ b/internal/fake/datagram_client.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		id := sent
-		if !spoof { // a flow is identified by address and port, and the system may reuse the port
+		if !spoof { // identify the flow by its port, which the system may reuse
 			id = conn.LocalAddr().(*net.UDPAddr).Port
 		}
 		_, _ = fmt.Fprintf(conn, "%s%d 0", name, id)
@@ -111,7 +111,7 @@
 	return sent
 }
 
-// sourceAddr returns the loopback address that belongs to a number.
+// sourceAddr returns the loopback source address for a flow number.
 func sourceAddr(number uint32) *net.UDPAddr {
 	return &net.UDPAddr{IP: net.IPv4(127, 1+byte(number>>16)%250, byte(number>>8), byte(number))}
 }
--- a/internal/fake/datagram_server.go
+++ b/internal/fake/datagram_server.go
@@ -30,6 +30,7 @@
 	sweptAt time.Time
 }
 
+// touch records that a flow has sent a datagram.
 func (f *flows) touch(flow string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,6 +40,8 @@
 	f.lastAt[flow] = now
 }
 
+// count returns the number of flows. It first removes idle ones, at most ten times per
+// flowIdleTimeout.
 func (f *flows) count(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -16,6 +16,6 @@
 
 func (s *Server) faultMode() FaultMode { return FaultMode(s.fault.Load()) }
 
-// SetDatagramsUnanswered sets whether the server leaves datagrams unanswered. Its health checks and load
-// probes succeed in either case.
+// SetDatagramsUnanswered sets whether the server leaves datagrams unanswered. Health checks and
+// load probes succeed in either case.
 func (s *Server) SetDatagramsUnanswered(on bool) { s.ignoresDatagrams.Store(on) }
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -182,6 +182,7 @@
 // Probes returns how many load probes the server has received.
 func (s *Server) Probes() int64 { return s.probes.Load() }
 
+// accept serves the connections from a node until the listener is closed or the server is killed.
 func (s *Server) accept(ctx context.Context, node string, l net.Listener) {
 	for {
 		conn, err := l.Accept()
--- a/internal/fake/stream.go
+++ b/internal/fake/stream.go
@@ -43,6 +43,7 @@
 	return err
 }
 
+// reset closes the connection with a TCP reset.
 func (c *stream) reset() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -115,6 +116,7 @@
 	return openRequest{words[0], words[1], words[2]}, true
 }
 
+// observeOpened reports a first line to the observer of the server.
 func (c *stream) observeOpened(request openRequest) {
 	c.server.Observer.Opened(Opened{c.server.Name, c.node, request.key, time.Now()})
 }
--- a/internal/scenario/testbed/standalone.go
+++ b/internal/scenario/testbed/standalone.go
@@ -7,7 +7,7 @@
 	"coralrelay/internal/fake"
 )
 
-// The functions in this file are for scenarios that run single nodes and fake servers without a Testbed.
+// The functions in this file serve scenarios that run single nodes and fake servers without a Testbed.
 
 // TempDir creates a directory for one run. The function remove deletes it with its contents.
 func TempDir() (dir string, remove func(), err error) {
