--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
-// Package admin answers operators on a listener of its own: one line in, one answer out,
-// then the connection ends. It decides nothing and never waits for the event loop, the
-// fleet or another caller.
+// Package admin serves the operators' protocol on a listener of its own: a connection carries one
+// request line and one answer, and is then closed. The package makes no decisions itself, and a
+// request never waits for the event loop, the fleet or another connection.
 //
-// Server.Serve owns one goroutine for each call, at most MaxCalls. Each ends after its
-// answer, with its timeouts, or when the listener is closed, and Serve waits for them.
+// Server.Serve owns one goroutine per connection, at most MaxCalls. Each goroutine ends after its
+// answer, on a timeout, or when the listener is closed, and Serve waits for all of them.
 package admin
 
 import (
@@ -20,19 +20,20 @@
 )
 
 const (
-	// MaxCalls is how many calls are served at once, and so how many sockets they take.
+	// MaxCalls is the maximum number of connections served at once, and so of sockets in use.
 	MaxCalls = 16
-	// requestTimeout is how long a caller may take for its line.
+	// requestTimeout limits the time until the request line is complete.
 	requestTimeout = 3 * time.Second
-	// bufferedLineTimeout is what a caller whose wait was cut short is still given for a
-	// line that lies in its socket: the node may have been too busy to read it.
+	// bufferedLineTimeout is the additional read time after requestTimeout or an early expiry. It
+	// lets the server read a line that is already in the socket's buffer, which a busy node may not
+	// have read in time.
 	bufferedLineTimeout = 5 * time.Millisecond
-	// writeTimeout is how long an answer may block.
+	// writeTimeout limits the write of an answer.
 	writeTimeout = time.Second
-	// lingerTimeout is how long a caller may take to end after an answer that came before
-	// all that it sends.
+	// lingerTimeout limits the wait for the client to close after an answer that was sent before
+	// all input was read.
 	lingerTimeout = 100 * time.Millisecond
-	// acceptBackoff is the pause after an accept that failed.
+	// acceptBackoff is the pause after a failed accept.
 	acceptBackoff = 5 * time.Millisecond
 )
 
@@ -52,26 +53,26 @@
 	endOfMetrics     = "EOF"
 )
 
-// Node is what operators ask and command. Its methods return at once.
+// Node is the node that operators query and control. Its methods return without blocking.
 type Node interface {
-	// AcceptsClients reports whether this process takes clients.
+	// AcceptsClients reports whether this process accepts clients.
 	AcceptsClients() bool
-	// Metrics returns lines of metrics, each with its line end.
+	// Metrics returns the metrics as text, each line with its line end.
 	Metrics() string
-	// LameDuck starts to drain the node; while it drains, it changes nothing.
+	// LameDuck starts to drain the node. It has no effect while the node is draining.
 	LameDuck()
-	// Rejoin ends a drain that LameDuck started; without one it changes nothing.
+	// Rejoin ends a drain that LameDuck started. It has no effect without one.
 	Rejoin()
 }
 
-// Server answers operators.
+// Server serves the operators' protocol.
 type Server struct {
 	node          Node
-	callSlots     chan struct{} // holds one element for each call that is served
+	callSlots     chan struct{} // one element for each connection that is being served
 	rejectedCalls logging.Throttled
 
 	mu              sync.Mutex
-	awaitingRequest []net.Conn // have not sent a complete line yet, the oldest first
+	awaitingRequest []net.Conn // connections without a complete request line yet, oldest first
 	wg              sync.WaitGroup
 }
 
@@ -80,7 +81,7 @@
 	return &Server{node: node, callSlots: make(chan struct{}, MaxCalls)}
 }
 
-// Serve accepts calls until the listener is closed, which is no error, and then waits for
+// Serve accepts connections until the listener is closed, which is not an error, and then waits for
 // those that are being served.
 func (s *Server) Serve(listener net.Listener) error {
 	defer s.wg.Wait()
@@ -90,8 +91,8 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case err != nil: // out of descriptors, most likely
-			s.rejectedCalls.Warn("operator call not accepted", "component", "admin", "error", err)
+		case err != nil: // usually the descriptor limit
+			s.rejectedCalls.Warn("accept operator connection failed", "component", "admin", "error", err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
@@ -107,8 +108,8 @@
 	}
 }
 
-// acquireSlot takes a slot for a call. Where all are taken, half of the silent callers are
-// expired at once, so that a crowd of them delays nobody for long.
+// acquireSlot takes a slot for a connection. If all slots are taken, it expires the oldest half of
+// the connections that have sent no request, so that idle connections cannot block others for long.
 func (s *Server) acquireSlot() {
 	select {
 	case s.callSlots <- struct{}{}:
@@ -118,7 +119,7 @@
 	}
 }
 
-// expireOldest ends the wait for a request of the n callers that have been silent longest.
+// expireOldest expires the read deadline of the n oldest connections that have sent no request.
 func (s *Server) expireOldest(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 	s.awaitingRequest = slices.Delete(s.awaitingRequest, 0, n)
 }
 
-// requestReceived takes conn off the silent callers; nobody moves its deadline any more.
+// requestReceived removes conn from awaitingRequest, after which its deadline is not expired early.
 func (s *Server) requestReceived(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// handle reads one request, answers it and ends the connection.
+// handle reads one request, answers it and closes the connection.
 func (s *Server) handle(conn net.Conn) {
 	client := bufconn.New(conn)
 	request, err := client.ReadTextLine()
@@ -148,7 +149,7 @@
 	}
 	answer := answerIncomplete
 	if err != nil {
-		s.rejectedCalls.Warn("operator call rejected", "component", "admin", "client", conn.RemoteAddr().String(), "error", err)
+		s.rejectedCalls.Warn("operator request rejected", "component", "admin", "client", conn.RemoteAddr().String(), "error", err)
 	} else {
 		answer = s.answer(string(request), conn)
 	}
@@ -161,7 +162,7 @@
 	client.Release()
 }
 
-// answer carries out a request and returns its answer, without the line end.
+// answer executes a request and returns the answer without its line end.
 func (s *Server) answer(request string, conn net.Conn) string {
 	switch request {
 	case requestPing:
@@ -178,6 +179,6 @@
 		s.node.Rejoin()
 		return answerRejoined
 	}
-	s.rejectedCalls.Warn("operator call unknown", "component", "admin", "client", conn.RemoteAddr().String())
+	s.rejectedCalls.Warn("unknown operator request", "component", "admin", "client", conn.RemoteAddr().String())
 	return answerUnknown
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const answerLimit = time.Second // for every answer
+const answerLimit = time.Second // maximum time until an answer
 
 type fakeNode struct {
 	draining           atomic.Bool
@@ -56,7 +56,7 @@
 	return conn
 }
 
-// call returns all that is answered, up to the connection's end.
+// call sends text and returns everything that is read until the connection ends.
 func call(t testing.TB, addr, text string) string {
 	t.Helper()
 	begun := time.Now()
@@ -77,14 +77,14 @@
 		{"PING\r\n", "400 takes no clients\r\n"},
 		{"LAMEDUCK\r\n", "200 emptying\r\n"},
 		{"REJOIN\r\n", "200 taking clients\r\n"},
-		{"PING\r\nLAMEDUCK\r\n", "200 OK\r\n"}, // one line each
+		{"PING\r\nLAMEDUCK\r\n", "200 OK\r\n"}, // only the first line is served
 		{"INFO", "400 no whole line\r\n"},
 		{"STATUS\r\n", "400 unknown call: PING, INFO, LAMEDUCK or REJOIN\r\n"},
 		{"", "400 "}, {"\r\n", "400 "}, {"ping\r\n", "400 "}, {"PING \r\n", "400 "}, {"PING", "400 "},
 		{"\x00\xff\r\n", "400 "}, {strings.Repeat("INFO", 2000), "400 "}, {strings.Repeat("x", 4094) + "\r\n", "400 "},
 	} {
 		conn := dial(t, addr, c.call)
-		_ = conn.(*net.TCPConn).CloseWrite() // half a request stays half
+		_ = conn.(*net.TCPConn).CloseWrite() // an incomplete request stays incomplete
 		all, err := io.ReadAll(conn)
 		if err != nil || !strings.HasPrefix(string(all), c.want) || strings.HasSuffix(c.want, "\r\n") && string(all) != c.want {
 			t.Errorf("%.20q: %q, %v", c.call, all, err)
@@ -95,8 +95,8 @@
 	}
 }
 
-// Callers that stay and send nothing, or half a request, delay no answer to others, and
-// neither do many calls at once.
+// Guards against idle connections, and connections with an incomplete request, that delay the
+// answers to others. Many concurrent requests must not delay them either.
 func TestSilentCallersDelayNobody(t *testing.T) {
 	addr, _ := startServer(t)
 	for i := range 8 * MaxCalls {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A silent caller is answered when its time is up, in exact time; the bubble reports any
-// goroutine that would be left behind.
+// An idle connection is answered when its timeout expires. The test runs in synctest's fake time,
+// and synctest reports any goroutine that is left over.
 func TestSilentCallerIsAnsweredAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(&fakeNode{})
@@ -132,7 +132,7 @@
 	})
 }
 
-// Any input gets exactly one answer: 200 for a known request, else 400.
+// Every input gets exactly one answer: 200 for a known request, 400 for anything else.
 func FuzzCall(f *testing.F) {
 	for _, seed := range []string{"PING\r\n", "INFO\n", "LAMEDUCK\r\nREJOIN\r\n", "", "\n", "PING\r\r\n", "4096"} {
 		f.Add([]byte(seed))
@@ -144,7 +144,7 @@
 		go func() { defer close(done); s.handle(near) }()
 		go func() {
 			_, _ = far.Write(sent)
-			_ = near.SetReadDeadline(time.Unix(1, 0)) // nothing more will come
+			_ = near.SetReadDeadline(time.Unix(1, 0)) // the end of the input
 		}()
 		text, _ := bufio.NewReader(far).ReadString('\n')
 		far.Close()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging sets up structured logs, zap behind log/slog, so that call sites know
-// slog alone; and it throttles lines that may come in floods. It starts no goroutine.
+// Package logging configures structured logs, with zap as the backend of log/slog, so that call
+// sites depend on slog only. It also rate-limits events that may occur in bursts. It starts no
+// goroutine.
 package logging
 
 import (
@@ -11,10 +12,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// level can be changed while the program runs.
+// level is the minimum level that is logged. It can be changed at run time.
 var level = zap.NewAtomicLevelAt(zapcore.InfoLevel)
 
-// Setup makes w the target of slog's default logger, as lines of text or of JSON.
+// Setup directs slog's default logger to w, as text lines or as JSON.
 func Setup(w io.Writer, json bool) {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -29,8 +30,8 @@
 	slog.SetDefault(slog.New(zapslog.NewHandler(core, zapslog.AddStacktraceAt(slog.LevelError+1))))
 }
 
-// SetLevel changes the least level that is logged: debug, info, warn or error. Any other
-// name is an error and changes nothing.
+// SetLevel sets the minimum level that is logged: debug, info, warn or error. For any other name it
+// returns an error and leaves the level unchanged.
 func SetLevel(name string) error {
 	parsed, err := zapcore.ParseLevel(name)
 	if err != nil {
--- a/internal/logging/throttled.go
+++ b/internal/logging/throttled.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// throttleInterval is the least time between two lines of one Throttled.
+// throttleInterval is the minimum time between two lines of one Throttled.
 const throttleInterval = 10 * time.Second
 
-// Throttled logs one kind of event that may come in floods, such as malformed input of
-// clients: the first at once, later ones as a count, with the latest as the example. zap's
-// own sampler drops lines without a count. The zero value is ready to use, by several
-// goroutines at once.
+// Throttled rate-limits the log lines of one kind of event that may occur in bursts, such as
+// malformed input of clients. The first event is logged at once. Later ones are counted, and the
+// next line has the count and the attributes of the latest event. zap's sampler is not used because
+// it drops lines without a count. The zero value is ready to use. It is safe for concurrent use.
 type Throttled struct {
 	mu     sync.Mutex
 	count  int
-	nextAt time.Time // no line before
+	nextAt time.Time // earliest time of the next line
 }
 
-// Warn counts the event, and logs it as a warning, with the count of events since the last
-// line, unless a line was logged within the last ten seconds.
+// Warn counts the event. Unless a line was logged within throttleInterval, it logs a warning with
+// the number of events since the last line.
 func (t *Throttled) Warn(message string, attributes ...any) {
 	now := time.Now()
 	t.mu.Lock()
--- a/internal/logging/throttled_test.go
+++ b/internal/logging/throttled_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A flood costs one line, and the next line has the count of what was not logged.
+// A burst of events produces one line, and the next line has the count of the suppressed events.
 func TestFloodIsLoggedAsCount(t *testing.T) {
 	var log bytes.Buffer
 	previous := slog.Default()
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,6 @@
-// Package loopback has addresses for scenarios and tests that start real processes. Each process that uses
-// it has an IP of its own, so that those which run side by side do not take over one another's ports.
+// Package loopback allocates loopback addresses for scenarios and tests that start real processes.
+// Each process that uses it has an IP address of its own, so that concurrent processes do not reuse
+// each other's ports.
 package loopback
 
 import (
@@ -10,25 +11,25 @@
 	"sync/atomic"
 )
 
-// The ports that are given: all below the ephemeral ones, which the system gives to connections and listeners
-// meanwhile.
+// Allocated ports are below the ephemeral range, from which the system assigns ports to other
+// connections and listeners at the same time.
 const lowestPort, ephemeralPort = 12_000, 32_000
 
-// maxTries bounds the ports that are tried for one address.
+// maxTries is the maximum number of ports tried for one address.
 const maxTries = 100
 
-// given counts the ports that were given, from a start of its own in each process. Each comes once before any
-// comes again: whoever has one need not listen yet.
-var given = func() *atomic.Int64 {
+// allocated counts the allocated ports, from a random offset in each process. A port is reused only
+// after all others were allocated, so that a reserved port stays free until its owner listens.
+var allocated = func() *atomic.Int64 {
 	var count atomic.Int64
 	count.Store(rand.Int64N(ephemeralPort - lowestPort))
 	return &count
 }()
 
-// Listen opens a TCP listener on an address that was not given before.
+// Listen opens a TCP listener on an address that was not allocated before.
 func Listen() (listener net.Listener, err error) {
 	for range maxTries {
-		port := lowestPort + int(given.Add(1))%(ephemeralPort-lowestPort)
+		port := lowestPort + int(allocated.Add(1))%(ephemeralPort-lowestPort)
 		if listener, err = net.Listen("tcp", fmt.Sprintf("%s:%d", processIP(), port)); err == nil {
 			return listener, nil
 		}
@@ -36,7 +37,7 @@
 	return nil, fmt.Errorf("no free port in %d tries: %w", maxTries, err)
 }
 
-// Reserve returns an address that was not given before and on which nobody listens.
+// Reserve returns an address that was not allocated before and on which nothing listens.
 func Reserve() (addr string, err error) {
 	listener, err := Listen()
 	if err != nil {
@@ -45,7 +46,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// processIP is a loopback IP of this process, by its number.
+// processIP returns a loopback IP address derived from the process ID.
 func processIP() string {
 	const firstNet, nets, hosts = 64, 128, 250
 	pid := os.Getpid()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// No address is given twice, and on one that is reserved whoever asked can listen.
+// Guards against an address that is allocated twice, and against a reserved one that cannot be
+// listened on.
 func TestReserveGivesEachAddressOnce(t *testing.T) {
 	const count = 1000
 	seen := map[string]bool{}
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,9 +1,9 @@
-// Package metrics counts what operators read with INFO: by class, for as long as the
-// process lives. Counting is an atomic add, done where the counted thing has happened. It
-// starts no goroutine and has no errors.
+// Package metrics keeps the counters that the operators' INFO request returns, by class and since
+// the start of the process. A counter is incremented atomically at the point where its event
+// occurs. The package starts no goroutine and returns no errors.
 //
-// The names in the text are those that the operators' pages have had from the start
-// (throttled, faulted, relayed); the code says rejected, failed and forwarded.
+// Metric names keep the words of the operators' documentation: throttled, faulted and relayed. The
+// code calls the same events rejected, failed and forwarded.
 package metrics
 
 import (
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Types of a metric in the text, as in statsd.
+// Metric types of the text format, as in statsd.
 const (
 	counter byte = 'c'
 	gauge   byte = 'g'
 )
 
-// Class counts the connections of one class. A nil Class counts nothing: it stands for a
-// class that no settings ever named.
+// Class counts the connections of one class. A nil Class counts nothing; it stands for a class that
+// no configuration has named.
 type Class struct {
 	name      string
 	fulfilled atomic.Int64
 	rejected  atomic.Int64
 	failed    atomic.Int64
-	forwarded *atomic.Int64 // of all classes together
+	forwarded *atomic.Int64 // shared by all classes
 }
 
 // Fulfilled counts a connection that was established.
@@ -38,40 +38,39 @@
 	}
 }
 
-// Rejected counts one that was answered as busy.
+// Rejected counts a connection that was answered as busy.
 func (c *Class) Rejected() {
 	if c != nil {
 		c.rejected.Add(1)
 	}
 }
 
-// Failed counts one that was answered as failed.
+// Failed counts a connection that was answered as failed.
 func (c *Class) Failed() {
 	if c != nil {
 		c.failed.Add(1)
 	}
 }
 
-// Forwarded counts an attempt whose first line was written whole to an endpoint.
+// Forwarded counts an attempt whose first line was written completely to an endpoint.
 func (c *Class) Forwarded() {
 	if c != nil {
 		c.forwarded.Add(1)
 	}
 }
 
-// Registry holds the counts of all classes that settings have named. Its zero value is
-// ready to use, by several goroutines at once.
+// Registry holds the counters of all classes that any configuration has named. Its zero value is
+// ready to use. It is safe for concurrent use.
 type Registry struct {
 	forwarded       atomic.Int64
-	ConfigsAccepted atomic.Int64 // configuration files that took force on a reload
-	ConfigsRejected atomic.Int64 // configuration files that a reload turned down
+	ConfigsAccepted atomic.Int64 // configuration files that a reload applied
+	ConfigsRejected atomic.Int64 // configuration files that a reload rejected
 
 	mu      sync.Mutex
-	classes []*Class // in order of appearance; never dropped
+	classes []*Class // in the order in which they were added; never removed
 }
 
-// AddClasses makes the registry count classes of these names. Classes that it has already
-// keep their counts.
+// AddClasses adds a counter set for each name. Classes that are already present keep their counts.
 func (r *Registry) AddClasses(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +81,7 @@
 	}
 }
 
-// Class returns the counts of a class, or nil where the registry is nil or has no such class.
+// Class returns the counters of a class, or nil if the registry is nil or has no such class.
 func (r *Registry) Class(name string) *Class {
 	if r == nil {
 		return nil
@@ -92,7 +91,7 @@
 	return r.find(name)
 }
 
-// find returns the counts of a class or nil, under the lock.
+// find returns the counters of a class, or nil if there are none. The caller holds mu.
 func (r *Registry) find(name string) *Class {
 	i := slices.IndexFunc(r.classes, func(c *Class) bool { return c.name == name })
 	if i < 0 {
@@ -101,30 +100,30 @@
 	return r.classes[i]
 }
 
-// Gauges are numbers of the moment.
+// Gauges are the values that are sampled when the metrics are read.
 type Gauges struct {
 	OpenSessions     int
 	AcceptQueue      int           // connections that wait to be accepted
-	AcceptWait       time.Duration // how long the last one that was accepted had waited, or had been silent
+	AcceptWait       time.Duration // time between the arrival of the last accepted connection, or its last data, and its accept
 	ListedEndpoints  int
-	AvoidedEndpoints int // listed, and left out of all or most draws
+	AvoidedEndpoints int // listed endpoints that are excluded from all or most draws
 	List             List
-	Rejections       []Count // requests that were given up, by reason
+	Rejections       []Count // rejected requests, by reason
 }
 
-// List is what is known of the endpoint list.
+// List describes the state of the endpoint list.
 type List struct {
-	Age   time.Duration // since it was last confirmed; negative if it never was
-	Calls []Count       // calls of discovery that have ended, by outcome
+	Age   time.Duration // since the list was last confirmed; negative if it never was
+	Calls []Count       // completed discovery calls, by outcome
 }
 
-// Count is one of several counts of a kind.
+// Count is the value of one label of a metric, such as a reason or an outcome.
 type Count struct {
 	Name  string
 	Value int64
 }
 
-// Text formats all metrics, one a line, each line with its end.
+// Text returns all metrics, one per line, each terminated by CRLF.
 func (r *Registry) Text(gauges Gauges) string {
 	r.mu.Lock()
 	classes := r.classes
@@ -157,7 +156,7 @@
 	return text.String()
 }
 
-// sanitizeRune keeps a class's name from breaking the line that it stands in.
+// sanitizeRune replaces characters that would break the line format or are not printable ASCII.
 func sanitizeRune(r rune) rune {
 	if r <= ' ' || r > '~' || r == ':' || r == '|' {
 		return '_'
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestTextListsCountersAndGauges(t *testing.T) {
-	var b Registry
-	b.AddClasses("feed", "chat")
-	b.Class("feed").Fulfilled()
-	b.Class("chat").Rejected()
-	b.Class("chat").Failed()
-	b.Class("chat").Forwarded()
-	b.AddClasses("new", "feed") // chat has vanished, feed stays
-	b.Class("chat").Failed()
-	b.ConfigsAccepted.Add(1)
-	b.ConfigsRejected.Add(2)
+	var registry Registry
+	registry.AddClasses("feed", "chat")
+	registry.Class("feed").Fulfilled()
+	registry.Class("chat").Rejected()
+	registry.Class("chat").Failed()
+	registry.Class("chat").Forwarded()
+	registry.AddClasses("new", "feed") // chat is no longer configured, feed still is
+	registry.Class("chat").Failed()
+	registry.ConfigsAccepted.Add(1)
+	registry.ConfigsRejected.Add(2)
 	want := strings.ReplaceAll(`balancer.operations.feed.fulfilled:1|c
 balancer.operations.feed.throttled:0|c
 balancer.operations.feed.faulted:0|c
@@ -45,50 +45,51 @@
 		List:       List{Age: 1250 * time.Millisecond, Calls: []Count{{"reset", 3}}},
 		Rejections: []Count{{"no_server", 4}},
 	}
-	if got := b.Text(gauges); got != want {
+	if got := registry.Text(gauges); got != want {
 		t.Errorf("got:\n%s", got)
 	}
 }
 
-// A class that no settings named counts nowhere, and neither does a nil registry.
+// Guards against a panic or a stray counter for a class that no configuration names, and for a nil
+// registry.
 func TestUnknownClassCountsNothing(t *testing.T) {
-	var b Registry
-	for _, c := range []*Class{b.Class("stranger"), (*Registry)(nil).Class("feed")} {
+	var registry Registry
+	for _, c := range []*Class{registry.Class("stranger"), (*Registry)(nil).Class("feed")} {
 		c.Fulfilled()
 		c.Rejected()
 		c.Failed()
 		c.Forwarded()
 	}
-	if got := b.Text(Gauges{}); !strings.HasPrefix(got, "balancer.relayed:0|c") {
+	if got := registry.Text(Gauges{}); !strings.HasPrefix(got, "balancer.relayed:0|c") {
 		t.Errorf("got:\n%s", got)
 	}
 }
 
-// A class's name cannot break its line, whatever is in it.
+// Guards against class names with separators or line breaks, which would corrupt the text format.
 func TestClassNameCannotBreakLine(t *testing.T) {
-	var b Registry
-	b.AddClasses("a b:c|d\r\ne")
-	if got := b.Text(Gauges{}); !strings.HasPrefix(got, "balancer.operations.a_b_c_d__e.fulfilled:0|c\r\n") {
+	var registry Registry
+	registry.AddClasses("a b:c|d\r\ne")
+	if got := registry.Text(Gauges{}); !strings.HasPrefix(got, "balancer.operations.a_b_c_d__e.fulfilled:0|c\r\n") {
 		t.Errorf("got %q", got)
 	}
 }
 
-// Counting, adding classes and formatting may happen at the same time.
+// Counting, adding classes and formatting run concurrently without losing counts.
 func TestCountsBesideReadsAndNewClasses(t *testing.T) {
-	var b Registry
-	b.AddClasses("feed")
+	var registry Registry
+	registry.AddClasses("feed")
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
 			for range 1000 {
-				b.Class("feed").Fulfilled()
-				b.AddClasses("feed", "other")
-				_ = b.Text(Gauges{})
+				registry.Class("feed").Fulfilled()
+				registry.AddClasses("feed", "other")
+				_ = registry.Text(Gauges{})
 			}
 		})
 	}
 	wg.Wait()
-	if got := b.Text(Gauges{}); !strings.HasPrefix(got, "balancer.operations.feed.fulfilled:4000|c") {
+	if got := registry.Text(Gauges{}); !strings.HasPrefix(got, "balancer.operations.feed.fulfilled:4000|c") {
 		t.Errorf("got:\n%s", got)
 	}
 }
--- a/internal/mutation/off.go
+++ b/internal/mutation/off.go
@@ -1,9 +1,9 @@
 //go:build !mutation
 
-// Package mutation switches single guards off, so that a scenario can show that its checks
-// catch what the guard prevents (mutation testing). Only a build with the tag mutation can
-// do so: in any other, Enabled is false for the compiler, and no guard can be switched off.
+// Package mutation disables single guards, so that a scenario can show that its checks detect the
+// fault that the guard prevents (mutation testing). This needs the build tag mutation; without it
+// Enabled is constantly false, and the compiler removes the branch.
 package mutation
 
-// Enabled reports whether the named guard is switched off.
+// Enabled reports whether the named guard is disabled.
 func Enabled(string) bool { return false }
--- a/internal/mutation/on.go
+++ b/internal/mutation/on.go
@@ -4,9 +4,9 @@
 
 import "os"
 
-// selected is the guard that is switched off. The variable keeps the name that it had when
-// mutations were called otherwise: environment variables outlive a release.
+// selected is the name of the guard that is disabled. The environment variable keeps its first name,
+// because environment variables have to stay valid across releases.
 var selected = os.Getenv("CORALRELAY_SABOTAGE")
 
-// Enabled reports whether the named guard is switched off.
+// Enabled reports whether the named guard is disabled.
 func Enabled(name string) bool { return name == selected }
--- a/internal/sysfault/doc.go
+++ b/internal/sysfault/doc.go
@@ -1,5 +1,5 @@
-// Package sysfault stands between the process and its system calls, so that a scenario can have them
-// fail: accepts and connects with an error, reads and writes cut short, files that can't be synced, and a
-// wall clock that is off. Only a build with the tag mutation has it; in any other its functions return
-// what they are given.
+// Package sysfault injects faults into the system calls of the process for scenarios: accepts and
+// connects that fail, reads and writes that are cut short, and a wall clock with an offset. Faults
+// are only compiled in with the build tag mutation; without it the functions return their arguments
+// unchanged.
 package sysfault
--- a/internal/sysfault/off.go
+++ b/internal/sysfault/off.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// DialFunc connects to an address by a deadline.
+// DialFunc connects to an address before a deadline.
 type DialFunc func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 
-// Dial returns the function as it is.
+// Dial returns dial unchanged.
 func Dial(dial DialFunc) DialFunc { return dial }
 
-// Listener returns the listener as it is.
+// Listener returns listener unchanged.
 func Listener(listener net.Listener) net.Listener { return listener }
 
-// WallNow returns the time of the wall clock.
+// WallNow returns the wall-clock time.
 func WallNow() time.Time { return time.Now() }
--- a/internal/sysfault/on.go
+++ b/internal/sysfault/on.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// DialFunc connects to an address by a deadline.
+// DialFunc connects to an address before a deadline.
 type DialFunc func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 
-// fileVariable names the environment variable with the file that says which calls fail now.
+// fileVariable is the environment variable that holds the path of the fault file.
 const fileVariable = "CORALRELAY_SYSFAULTS"
 
-// pollInterval is how often the file is read.
+// pollInterval is the interval at which the fault file is read.
 const pollInterval = 10 * time.Millisecond
 
-// Faults are the contents of the file, as JSON.
+// Faults is the content of the fault file, as JSON.
 type Faults struct {
 	Accept     syscall.Errno `json:"accept"`         // 0 for none
 	Connect    syscall.Errno `json:"connect"`        // 0 for none
-	ShortIO    bool          `json:"short_io"`       // each read and write does a byte
-	WallOffset int64         `json:"wall_offset_ms"` // that the wall clock is ahead
+	ShortIO    bool          `json:"short_io"`       // each system call reads or writes at most one byte
+	WallOffset int64         `json:"wall_offset_ms"` // added to the wall clock, in milliseconds
 }
 
 var active atomic.Pointer[Faults]
 
-// init reads the file once, so that it counts for the process's start, and then again and again for as
-// long as the process runs.
+// init reads the fault file once before the process starts its work, so that faults apply to the
+// start, and then polls it for as long as the process runs.
 func init() {
 	active.Store(&Faults{})
 	path := os.Getenv(fileVariable)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Dial returns a function that fails as the faults say.
+// Dial returns a function that calls dial, or fails with the active connect error.
 func Dial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 		if errno := active.Load().Connect; errno != 0 {
@@ -66,7 +66,8 @@
 	}
 }
 
-// Listener returns a listener whose accepts fail as the faults say. What waits is accepted once they don't.
+// Listener returns a listener whose Accept fails with the active accept error. Connections that are
+// pending then are accepted when the fault ends.
 func Listener(listener net.Listener) net.Listener { return faultyListener{listener} }
 
 type faultyListener struct{ net.Listener }
@@ -80,7 +81,8 @@
 	return wrap(conn), err
 }
 
-// wrap has reads and writes of a connection cut short while the faults say so. All else of it stays.
+// wrap returns a TCP connection whose reads and writes are cut short while ShortIO is set. All
+// other methods are unchanged.
 func wrap(conn net.Conn) net.Conn {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		return &shortConn{tcp}
@@ -98,8 +100,8 @@
 	return c.TCPConn.Read(p)
 }
 
-// Write implements net.Conn: as a system call does, which writes a part, but as Go's Write, which goes on
-// until all is written.
+// Write implements net.Conn. With ShortIO each system call writes one byte; as the contract of
+// Write requires, it continues until all bytes are written or an error occurs.
 func (c *shortConn) Write(p []byte) (written int, err error) {
 	for active.Load().ShortIO && len(p)-written > 1 {
 		n, err := c.TCPConn.Write(p[written : written+1])
@@ -111,7 +113,7 @@
 	return written + n, err
 }
 
-// WallNow returns the time of the wall clock.
+// WallNow returns the wall-clock time plus the active offset.
 func WallNow() time.Time {
 	return time.Now().Add(time.Duration(active.Load().WallOffset) * time.Millisecond)
 }
--- a/internal/testsocket/testsocket.go
+++ b/internal/testsocket/testsocket.go
@@ -1,5 +1,5 @@
-// Package testsocket has the real sockets that tests of several packages work with. Whatever it opens is
-// closed when the test ends; what can't be opened fails the test. It is imported by tests alone.
+// Package testsocket provides real TCP sockets to the tests of several packages. Sockets are closed
+// when the test ends, and a socket that cannot be opened fails the test. Only tests import it.
 package testsocket
 
 import (
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Pair returns both ends of a TCP connection on loopback.
+// Pair returns both ends of a TCP connection over loopback.
 func Pair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,8 +27,8 @@
 	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
 }
 
-// Serve serves each connection to a listener on loopback on a goroutine of its own, and closes it when
-// serve returns.
+// Serve listens on loopback, calls serve for each accepted connection on a goroutine of its own,
+// and closes the connection when serve returns.
 func Serve(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
