--- a/cmd/coralrelay/descriptors.go
+++ b/cmd/coralrelay/descriptors.go
@@ -44,7 +44,7 @@
 		budget.total = max(budget.total-operatorFile.UDP.Sockets, minClientSockets)
 	}
 	if cfg.AdminAddr != "" { // the calls, the listener, and an accepted connection that waits for a call slot
-		budget.reserved += admin.MaxCalls + 2
+		budget.reserved += admin.MaxConnections + 2
 	}
 	if lock != nil {
 		budget.reserved += siblingDescriptors
--- a/cmd/coralrelay/sibling.go
+++ b/cmd/coralrelay/sibling.go
@@ -28,7 +28,7 @@
 	firstListTimeout = 2 * time.Second
 	// siblingReservedSockets are the sockets that a process needs besides those of its clients and their
 	// attempts: for operators' calls, probes, discovery and listeners.
-	siblingReservedSockets = admin.MaxCalls + 24
+	siblingReservedSockets = admin.MaxConnections + 24
 	// siblingPollInterval is how often the state of the sibling process is read.
 	siblingPollInterval = 50 * time.Millisecond
 )
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -2,7 +2,7 @@
 // request line and one answer, and is then closed. The package makes no decisions itself, and a
 // request never waits for the event loop, the fleet or another connection.
 //
-// Server.Serve owns one goroutine per connection, at most MaxCalls. Each goroutine ends after its
+// Server.Serve owns one goroutine per connection, at most MaxConnections. Each goroutine ends after its
 // answer, on a timeout, or when the listener is closed, and Serve waits for all of them.
 package admin
 
@@ -20,8 +20,8 @@
 )
 
 const (
-	// MaxCalls is the maximum number of connections served at once, and so of sockets in use.
-	MaxCalls = 16
+	// MaxConnections is the maximum number of connections served at once, and so of sockets in use.
+	MaxConnections = 16
 	// requestTimeout limits the time until the request line is complete.
 	requestTimeout = 3 * time.Second
 	// bufferedLineTimeout is the additional read time after requestTimeout or an early expiry. It
@@ -67,9 +67,9 @@
 
 // Server serves the operators' protocol.
 type Server struct {
-	node          Node
-	callSlots     chan struct{} // one element for each connection that is being served
-	rejectedCalls logging.Throttled
+	node             Node
+	connSlots        chan struct{} // one element for each connection that is being served
+	rejectedRequests logging.Throttled
 
 	mu              sync.Mutex
 	awaitingRequest []net.Conn // connections without a complete request line yet, oldest first
@@ -78,21 +78,21 @@
 
 // New returns a Server for node.
 func New(node Node) *Server {
-	return &Server{node: node, callSlots: make(chan struct{}, MaxCalls)}
+	return &Server{node: node, connSlots: make(chan struct{}, MaxConnections)}
 }
 
 // Serve accepts connections until the listener is closed, which is not an error, and then waits for
 // those that are being served.
 func (s *Server) Serve(listener net.Listener) error {
 	defer s.wg.Wait()
-	defer s.expireOldest(MaxCalls)
+	defer s.expireOldest(MaxConnections)
 	for {
 		conn, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil: // usually the descriptor limit
-			s.rejectedCalls.Warn("accept operator connection failed", "component", "admin", "error", err)
+			s.rejectedRequests.Warn("accept operator connection failed", "component", "admin", "error", err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
@@ -103,7 +103,7 @@
 		s.mu.Unlock()
 		s.wg.Go(func() {
 			s.handle(conn)
-			<-s.callSlots
+			<-s.connSlots
 		})
 	}
 }
@@ -112,10 +112,10 @@
 // the connections that have sent no request, so that idle connections cannot block others for long.
 func (s *Server) acquireSlot() {
 	select {
-	case s.callSlots <- struct{}{}:
+	case s.connSlots <- struct{}{}:
 	default:
-		s.expireOldest(MaxCalls / 2)
-		s.callSlots <- struct{}{}
+		s.expireOldest(MaxConnections / 2)
+		s.connSlots <- struct{}{}
 	}
 }
 
@@ -149,7 +149,8 @@
 	}
 	answer := answerIncomplete
 	if err != nil {
-		s.rejectedCalls.Warn("operator request rejected", "component", "admin", "client", conn.RemoteAddr().String(), "error", err)
+		s.rejectedRequests.Warn("operator request rejected", "component", "admin",
+			"client", conn.RemoteAddr().String(), "error", err)
 	} else {
 		answer = s.answer(string(request), conn)
 	}
@@ -179,6 +180,7 @@
 		s.node.Rejoin()
 		return answerRejoined
 	}
-	s.rejectedCalls.Warn("unknown operator request", "component", "admin", "client", conn.RemoteAddr().String())
+	s.rejectedRequests.Warn("unknown operator request", "component", "admin",
+		"client", conn.RemoteAddr().String())
 	return answerUnknown
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -59,15 +59,15 @@
 // call sends text and returns everything that is read until the connection ends.
 func call(t testing.TB, addr, text string) string {
 	t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	all, err := io.ReadAll(dial(t, addr, text))
-	if took := time.Since(begun); err != nil || took > answerLimit {
+	if took := time.Since(startedAt); err != nil || took > answerLimit {
 		t.Errorf("%.20q: %v after %v", text, err, took)
 	}
 	return string(all)
 }
 
-func TestAnswersEachCall(t *testing.T) {
+func TestAnswersEachRequest(t *testing.T) {
 	addr, n := startServer(t)
 	for _, c := range []struct{ call, want string }{
 		{"PING\r\n", "200 OK\r\n"},
@@ -81,12 +81,14 @@
 		{"INFO", "400 no whole line\r\n"},
 		{"STATUS\r\n", "400 unknown call: PING, INFO, LAMEDUCK or REJOIN\r\n"},
 		{"", "400 "}, {"\r\n", "400 "}, {"ping\r\n", "400 "}, {"PING \r\n", "400 "}, {"PING", "400 "},
-		{"\x00\xff\r\n", "400 "}, {strings.Repeat("INFO", 2000), "400 "}, {strings.Repeat("x", 4094) + "\r\n", "400 "},
+		{"\x00\xff\r\n", "400 "}, {strings.Repeat("INFO", 2000), "400 "},
+		{strings.Repeat("x", 4094) + "\r\n", "400 "},
 	} {
 		conn := dial(t, addr, c.call)
 		_ = conn.(*net.TCPConn).CloseWrite() // an incomplete request stays incomplete
 		all, err := io.ReadAll(conn)
-		if err != nil || !strings.HasPrefix(string(all), c.want) || strings.HasSuffix(c.want, "\r\n") && string(all) != c.want {
+		if err != nil || !strings.HasPrefix(string(all), c.want) ||
+			strings.HasSuffix(c.want, "\r\n") && string(all) != c.want {
 			t.Errorf("%.20q: %q, %v", c.call, all, err)
 		}
 	}
@@ -97,16 +99,16 @@
 
 // Guards against idle connections, and connections with an incomplete request, that delay the
 // answers to others. Many concurrent requests must not delay them either.
-func TestSilentCallersDelayNobody(t *testing.T) {
+func TestIdleConnectionsDoNotDelayOthers(t *testing.T) {
 	addr, _ := startServer(t)
-	for i := range 8 * MaxCalls {
+	for i := range 8 * MaxConnections {
 		dial(t, addr, []string{"", "PIN", strings.Repeat("P", 3000)}[i%3])
 	}
 	answers := make(chan string)
-	for range 4 * MaxCalls {
+	for range 4 * MaxConnections {
 		go func() { answers <- call(t, addr, "PING\r\n") }()
 	}
-	for range 4 * MaxCalls {
+	for range 4 * MaxConnections {
 		if a := <-answers; a != "200 OK\r\n" {
 			t.Errorf("answered %q", a)
 		}
@@ -115,16 +117,17 @@
 
 // An idle connection is answered when its timeout expires. The test runs in synctest's fake time,
 // and synctest reports any goroutine that is left over.
-func TestSilentCallerIsAnsweredAfterTimeout(t *testing.T) {
+func TestIdleConnectionIsAnsweredAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(&fakeNode{})
 		near, far := net.Pipe()
-		begun := time.Now()
-		s.callSlots <- struct{}{}
-		s.wg.Go(func() { s.handle(near); <-s.callSlots })
+		startedAt := time.Now()
+		s.connSlots <- struct{}{}
+		s.wg.Go(func() { s.handle(near); <-s.connSlots })
 		_ = near.SetReadDeadline(time.Now().Add(requestTimeout))
 		text, _ := bufio.NewReader(far).ReadString('\n')
-		if took := time.Since(begun); took > requestTimeout+bufferedLineTimeout || !strings.HasPrefix(text, "400 ") {
+		if took := time.Since(startedAt); took > requestTimeout+bufferedLineTimeout ||
+			!strings.HasPrefix(text, "400 ") {
 			t.Errorf("%q after %v", text, took)
 		}
 		far.Close()
@@ -134,7 +137,9 @@
 
 // Every input gets exactly one answer: 200 for a known request, 400 for anything else.
 func FuzzCall(f *testing.F) {
-	for _, seed := range []string{"PING\r\n", "INFO\n", "LAMEDUCK\r\nREJOIN\r\n", "", "\n", "PING\r\r\n", "4096"} {
+	for _, seed := range []string{
+		"PING\r\n", "INFO\n", "LAMEDUCK\r\nREJOIN\r\n", "", "\n", "PING\r\r\n", "4096",
+	} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, sent []byte) {
@@ -151,7 +156,8 @@
 		<-done
 		call, _, whole := strings.Cut(string(sent), "\n")
 		call = strings.TrimRight(call, "\r")
-		known := whole && len(call) < 100 && strings.Contains(" PING INFO LAMEDUCK REJOIN ", " "+call+" ") && call != ""
+		known := whole && len(call) < 100 &&
+			strings.Contains(" PING INFO LAMEDUCK REJOIN ", " "+call+" ") && call != ""
 		if known != !strings.HasPrefix(text, "400 ") {
 			t.Errorf("%q: answered %q", sent, text)
 		}
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -104,7 +104,7 @@
 type Gauges struct {
 	OpenSessions     int
 	AcceptQueue      int           // connections that wait to be accepted
-	AcceptWait       time.Duration // time between the arrival of the last accepted connection, or its last data, and its accept
+	AcceptWait       time.Duration // of the last accepted connection, since its last byte or its connect
 	ListedEndpoints  int
 	AvoidedEndpoints int // listed endpoints that are excluded from all or most draws
 	List             List
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -69,13 +69,14 @@
 func TestClassNameCannotBreakLine(t *testing.T) {
 	var registry Registry
 	registry.AddClasses("a b:c|d\r\ne")
-	if got := registry.Text(Gauges{}); !strings.HasPrefix(got, "balancer.operations.a_b_c_d__e.fulfilled:0|c\r\n") {
+	if got := registry.Text(Gauges{}); !strings.HasPrefix(got,
+		"balancer.operations.a_b_c_d__e.fulfilled:0|c\r\n") {
 		t.Errorf("got %q", got)
 	}
 }
 
 // Counting, adding classes and formatting run concurrently without losing counts.
-func TestCountsBesideReadsAndNewClasses(t *testing.T) {
+func TestCountsWithConcurrentReadsAndNewClasses(t *testing.T) {
 	var registry Registry
 	registry.AddClasses("feed")
 	var wg sync.WaitGroup
