--- a/internal/scenario/accounts/checks.go
+++ b/internal/scenario/accounts/checks.go
@@ -13,23 +13,25 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// violationf reports a broken rule.
+// violationf records a violation of a rule, with a formatted description.
 func (s *scenario) violationf(rule, format string, args ...any) {
 	s.AddViolation(rule, fmt.Sprintf(format, args...))
 }
 
-// leastActivity is how often what the scenario is to provoke happens at least in a complete run.
-var leastActivity = map[string]float64{
+// minActivity has, by metric, how often each event that the scenario provokes must occur in a complete
+// run: a run in which it occurs less often does not test the rule behind it.
+var minActivity = map[string]float64{
 	"taken": 250, "refused": 150, "leaders_lost": 6, "lines_revoked": 5, "races": 8, "answers_lost": 1,
-	"tried_" + ruleParent: 5, "tried_" + ruleSubtree: 8, "tried_" + ruleHalf: 8, "tried_" + ruleTwice: 5,
-	"trees_seen_share": 0.5,
+	"tried_" + ruleParentLimit: 5, "tried_" + ruleSubtree: 8, "tried_" + ruleAtomic: 8,
+	"tried_" + ruleOnce: 5,
+	"trees_seen_share":  0.5,
 }
 
-// minServedShare is the share of the transactions beside it all that must be served at least.
+// minServedShare is the smallest share of the background transactions that must be served.
 const minServedShare = 0.9
 
-// check checks all that was answered and observed. isComplete says that all phases ran, so that all
-// that is to be provoked has been.
+// check checks all answers and observations. isComplete means that all phases ran, so that the event
+// counts of minActivity are required, too.
 func (s *scenario) check(isComplete bool) {
 	proposals := s.history.proposals
 	slices.SortFunc(proposals, func(a, b *proposal) int { return a.calledAt.Compare(b.calledAt) })
@@ -42,22 +44,24 @@
 	}
 	s.RequireAtLeast("taken", 60)
 	if isComplete {
-		for metric, least := range leastActivity {
+		for metric, least := range minActivity {
 			s.RequireAtLeast(metric, least)
 		}
 	}
-	share, all := s.ServedShare(time.Now().Add(learningTime-s.Elapsed()), time.Now())
+	share, all := s.ServedShare(time.Now().Add(rateLearningTime-s.Elapsed()), time.Now())
 	s.SetMetric("served_beside_it", share)
 	if all > 0 && share < minServedShare {
-		s.violationf("served", "%.3f of %d transactions were served beside it, want %v at least",
+		s.violationf("served", "%.3f of %d background transactions were served, want at least %v",
 			share, all, minServedShare)
 	}
 }
 
-// checkAnswers checks each answer by itself.
+// checkAnswers checks each answer independently of the states that members reported: an accepted
+// proposal has a log index of its own, breaks no rule, and is not signed by a revoked key; of two
+// proposals of a race, at most one is accepted.
 func (s *scenario) checkAnswers(proposals []*proposal) {
 	byIndex := map[uint64]*proposal{}
-	revokedAt := map[string]uint64{} // by key name: an index
+	revokedAt := map[string]uint64{} // log index of the revocation, by key name
 	for _, chain := range s.history.revokedChains {
 		s.AddMetric("lines_revoked", 1)
 		for _, name := range chain.keyNames {
@@ -71,31 +75,32 @@
 		}
 		if o.status != outcomeKnown || o.outcome.Index == 0 {
 			if o.isAccepted() {
-				s.AddViolation("answer", "accepted at no index: "+o.String())
+				s.AddViolation("answer", "accepted without a log index: "+o.String())
 			}
 			continue
 		}
 		if one := byIndex[o.outcome.Index]; one != nil {
-			s.violationf("index", "two entries at index %d: %v and %v", o.outcome.Index, one, o)
+			s.violationf("index", "two proposals at index %d: %v and %v", o.outcome.Index, one, o)
 		}
 		byIndex[o.outcome.Index] = o
 		if o.isAccepted() && o.brokenRule != "" {
 			s.AddViolation(o.brokenRule, "accepted: "+o.String())
 		}
 		if index, ok := revokedAt[o.entry.KeyName]; ok && o.isAccepted() && o.outcome.Index > index {
-			s.violationf("revoked", "revoked at %d, accepted: %v", index, o)
+			s.violationf("revoked", "accepted although its grant was revoked at index %d: %v", index, o)
 		}
 	}
 	for _, pair := range s.history.races {
 		s.AddMetric("races", 1)
 		if pair[0].isAccepted() && pair[1].isAccepted() {
-			s.violationf("compared", "two on one base version were both accepted: %v and %v", pair[0], pair[1])
+			s.violationf("compared", "two proposals with the same base version were both accepted: %v and %v",
+				pair[0], pair[1])
 		}
 	}
 }
 
-// checkTrees checks what members held at each index: limits, scopes, conflicts and chains of grants,
-// and that all members held the same.
+// checkTrees checks the state that members held at each index: its limits, scopes, conflicts and chains
+// of grants are valid, and all members held the same state.
 func (s *scenario) checkTrees() {
 	s.watcher.mu.Lock()
 	defer s.watcher.mu.Unlock()
@@ -104,7 +109,7 @@
 		list := s.watcher.trees[index]
 		last = index
 		if len(list) > 1 {
-			s.violationf("same", "at index %d %s holds another state than %s: hashes %.8x and %.8x",
+			s.violationf("same", "at index %d %s and %s hold different states: hashes %.8x and %.8x",
 				index, list[1].agent, list[0].agent, list[1].state.Hash, list[0].state.Hash)
 		}
 		for _, one := range list {
@@ -113,8 +118,8 @@
 				s.violationf("tree", "%s at index %d: %v", one.agent, index, err)
 			}
 			for _, r := range tree.Routes {
-				if r.Name == halfRouteName {
-					s.violationf(ruleHalf, "%s at index %d has route %q", one.agent, index, r.Path())
+				if r.Name == partialRouteName {
+					s.violationf(ruleAtomic, "%s at index %d has route %q", one.agent, index, r.Path())
 				}
 			}
 		}
@@ -123,8 +128,8 @@
 	s.SetMetric("trees_seen_share", float64(len(s.watcher.trees))/float64(max(last, 1)))
 }
 
-// reportedHashes returns the hashes that members reported, by index. A member that reported another
-// hash than the first breaks a rule.
+// reportedHashes returns the hash that members reported for each index. A member whose hash differs
+// from the first one reported for the index is recorded as a violation.
 func (s *scenario) reportedHashes() map[uint64]logentry.Hash {
 	s.watcher.mu.Lock()
 	defer s.watcher.mu.Unlock()
@@ -148,8 +153,8 @@
 	return hashes
 }
 
-// checkHistory checks the history against the model, and returns the states of the order that was
-// found; nil if there is none.
+// checkHistory checks the history against the model. It returns the states that the search for a valid
+// order visited, by hash, or nil if it found no valid order.
 func (s *scenario) checkHistory(proposals []*proposal) map[logentry.Hash]*logentry.State {
 	hashes := s.reportedHashes()
 	final, _ := s.watcher.latest(s.Names[0])
@@ -169,15 +174,16 @@
 	case porcupine.Ok:
 		return m.states
 	case porcupine.Illegal:
-		s.violationf("history", "%d proposals fit no order that agrees with time, with versions "+
-			"and with what members hold at the end", len(proposals))
+		s.violationf("history", "no order of %d proposals agrees with real time, with their versions "+
+			"and with the final state of the members", len(proposals))
 	default:
-		s.violationf("history", "no order of %d proposals was found within %v", len(proposals), historyTimeout)
+		s.violationf("history", "search for an order of %d proposals not finished within %v",
+			len(proposals), historyTimeout)
 	}
 	return nil
 }
 
-// checkStates checks each state that a member reported against what the entries before it result in.
+// checkStates checks that each state that a member reported is the result of the log entries up to it.
 func (s *scenario) checkStates(states map[logentry.Hash]*logentry.State) {
 	s.watcher.mu.Lock()
 	defer s.watcher.mu.Unlock()
@@ -185,11 +191,12 @@
 		for _, one := range list {
 			want := states[one.state.Hash]
 			if want == nil {
-				s.violationf("log", "%s at index %d: its hash chain is none of what was proposed", one.agent, index)
+				s.violationf("log", "%s at index %d: hash chain results from no order of the proposals",
+					one.agent, index)
 				continue
 			}
 			if raw, err := json.Marshal(want); err != nil || sha256.Sum256(raw) != one.checksum {
-				s.violationf("log", "%s at index %d holds what the entries do not result in (%v)",
+				s.violationf("log", "%s at index %d: state differs from the result of the log entries (%v)",
 					one.agent, index, err)
 			}
 		}
--- a/internal/scenario/accounts/faults.go
+++ b/internal/scenario/accounts/faults.go
@@ -11,26 +11,27 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// linkCut is the fault of a link that is down.
+// linkCut is the fault of a link that transmits nothing.
 var linkCut = faultproxy.Fault{Cut: true}
 
-// beginFault records that an agent has a fault, until endFault, which is called just before the fault
-// is removed.
+// beginFault records that an agent has a fault until endFault is called, which is done just before the
+// fault is removed.
 func (s *scenario) beginFault(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultPeriods[name] = append(s.faultPeriods[name], period{from: time.Now()})
 }
 
+// endFault records the end of an agent's latest fault.
 func (s *scenario) endFault(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultPeriods[name][len(s.faultPeriods[name])-1].until = time.Now()
 }
 
-// leaderToLose returns the leader and records that it is lost from now on. It is an error if there is
-// none.
-func (s *scenario) leaderToLose(ctx context.Context) (string, error) {
+// loseLeader returns the current leader, for the caller to disrupt, and records that it is lost from now
+// on. It returns an error if there is no leader within maxLeaderGap.
+func (s *scenario) loseLeader(ctx context.Context) (string, error) {
 	name := ""
 	_, ok := testbed.Await(ctx, maxLeaderGap, func() bool {
 		name = s.watcher.leader()
@@ -47,7 +48,7 @@
 	return name, ctx.Err()
 }
 
-// randomAgent draws an agent, of the voters or of the others, except some.
+// randomAgent returns a random voter or, if isVoter is false, a random non-voter, but none of except.
 func (s *scenario) randomAgent(rng *mrand.Rand, isVoter bool, except ...string) string {
 	all := s.Names[s.Voters:]
 	if isVoter {
@@ -60,14 +61,16 @@
 	}
 }
 
+// allExcept returns the names of all agents but one.
 func (s *scenario) allExcept(except string) []string {
 	return slices.DeleteFunc(slices.Clone(s.Names), func(name string) bool { return name == except })
 }
 
-// waitForRejoin waits until an agent follows the log again, and has its vote if it had one.
+// waitForRejoin waits until an agent is within its lease and has a role in the replicated log again,
+// with its vote if it is a voter.
 func (s *scenario) waitForRejoin(ctx context.Context, phase, name string) {
 	timeout := rejoinTimeout
-	if s.Metric("not_back") > 0 { // the scenario has failed already
+	if s.Metric("not_back") > 0 { // the scenario has already failed
 		timeout = time.Second
 	}
 	took, hasRejoined := testbed.Await(ctx, timeout, func() bool {
@@ -77,12 +80,12 @@
 	s.SetMetric(phase+"_back_ms", max(s.Metric(phase+"_back_ms"), float64(took.Milliseconds())))
 	if !hasRejoined && ctx.Err() == nil {
 		s.AddMetric("not_back", 1)
-		s.violationf("back", "%s: %s does not follow again after %v: %s",
+		s.violationf("back", "%s: %s did not follow the log again within %v: %s",
 			phase, name, timeout, s.watcher.describe())
 	}
 }
 
-// waitForConvergence ends all faults and waits until all members hold the same.
+// waitForConvergence ends all network faults and waits until all members hold the same state.
 func (s *scenario) waitForConvergence(ctx context.Context) {
 	s.Proxy.Heal()
 	took, hasConverged := testbed.Await(ctx, convergenceTimeout, func() bool {
@@ -90,9 +93,9 @@
 	})
 	s.SetMetric("as_one_again_ms", float64(took.Milliseconds()))
 	if !hasConverged && ctx.Err() == nil {
-		s.violationf("converge", "members hold different states %v after all faults ended: %s",
+		s.violationf("converge", "members still hold different states %v after all faults ended: %s",
 			convergenceTimeout, s.watcher.describe())
 	}
-	// Trees are polled after states: the last ones have to arrive, too.
+	// The watcher polls an agent's tree after its state, so the last trees may not have arrived yet.
 	testbed.Await(ctx, time.Second, func() bool { return s.watcher.hasCurrentTrees(s.Names) })
 }
--- a/internal/scenario/accounts/history_model.go
+++ b/internal/scenario/accounts/history_model.go
@@ -10,40 +10,43 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// model is the linearizability that the replicated log guarantees to proposers: one order of all
-// entries, which agrees with real time, in which each answer follows from the entries before it by
-// the pure code that all members share, every version compared. An entry with an index has that
-// place; one that was rejected before it was logged (index 0) sees the state of some moment of its
-// call, and changes nothing; one whose answer was lost has some place, or none.
+// model checks the linearizability that the replicated log guarantees to proposers: there is one order
+// of all entries that agrees with real time and in which each answer, including every comparison of
+// versions, results from applying the entries before it with the pure code that all members share. An
+// entry with an index has that position in the order. An entry that was rejected before it was logged
+// (index 0) is applied to the state at some moment of its call and changes nothing. An entry whose
+// answer was lost has any position, or none.
 //
-// What members report of their state is not part of it: a follower may be behind. The hashes that
-// they report pin the order down; how far behind they may be is checked separately.
+// The states that members report are not operations of the model, because a follower may be behind.
+// The hashes that they report restrict the possible orders; checkStaleness limits how far a member may
+// be behind.
 //
-// All that was logged is searched together with the rejections of each author, one author after the
-// other: the rejections of all authors would be too many to try in every order. So rejections of two
-// authors that are possible one by one but not together are not noticed.
+// The logged entries are searched together with the rejections of one author at a time, because the
+// rejections of all authors are too many to try in every order. Rejections of two authors that are
+// possible separately but not together are therefore not detected.
 type model struct {
 	answeredIndices map[uint64]bool
-	hashes          map[uint64]logentry.Hash // as members reported
+	hashes          map[uint64]logentry.Hash // reported by members, by index
 
-	mu      sync.Mutex // authors are searched in parallel
+	mu      sync.Mutex // porcupine searches the partitions in parallel
 	applied map[transition]applyResult
-	states  map[logentry.Hash]*logentry.State // all that the search visited
+	states  map[logentry.Hash]*logentry.State // all states that the search visited, by hash
 }
 
-// transition is that a proposal is applied to the state of a hash.
+// transition is the application of a proposal to the state with a hash.
 type transition struct {
 	from     logentry.Hash
 	proposal *proposal
 }
 
-// applyResult is what a transition results in.
+// applyResult is the result of a transition.
 type applyResult struct {
 	next    *logentry.State
 	outcome logentry.Outcome
 }
 
-// modelState is a state, and whether the history is finished: then what has no place yet has none.
+// modelState is a state of the log, and whether the history is finished: a proposal that has no
+// position in the order by then was not logged.
 type modelState struct {
 	*logentry.State
 	isFinished bool
@@ -64,7 +67,7 @@
 	return m
 }
 
-// apply applies a proposal to a state.
+// apply applies a proposal to a state, and caches the result.
 func (m *model) apply(s *logentry.State, o *proposal) applyResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,8 +80,8 @@
 	return result
 }
 
-// step reports whether a proposal can come at a state, and returns the state after it. A nil
-// proposal is the end, where last is what all members hold.
+// step reports whether a proposal can be the next operation in a state, and returns the state after it.
+// A nil proposal is the end of the history, where all members hold the state with the hash last.
 func (m *model) step(at modelState, o *proposal, last logentry.Hash) (bool, modelState) {
 	if o == nil {
 		return at.Hash == last, modelState{at.State, true}
@@ -104,7 +107,8 @@
 	return true, modelState{result.next, false}
 }
 
-// check searches for an order until the timeout. last is what all members hold at the end.
+// check searches for a valid order until the timeout. last is the hash of the state that all members
+// hold at the end.
 func (m *model) check(
 	first *logentry.State, proposals []*proposal, last logentry.Hash, timeout time.Duration,
 ) porcupine.CheckResult {
@@ -115,7 +119,7 @@
 	}
 	for _, o := range proposals {
 		if o.status == notProposed {
-			continue // as part of the log it would leave a place that nothing fills
+			continue // it was not logged, so it has no position in the order
 		}
 		returnedAt := o.returnedAt.UnixNano()
 		if o.status == outcomeUnknown {
@@ -135,8 +139,8 @@
 	}, all, timeout)
 }
 
-// partitionByAuthor returns all that was logged, or may have been: with no rejections, and with those
-// of each author.
+// partitionByAuthor returns one partition of the operations that were or may have been logged, without
+// rejections, and one for each author with that author's rejections added.
 func partitionByAuthor(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 	var logged []porcupine.Operation
 	rejected := map[string][]porcupine.Operation{}
--- a/internal/scenario/accounts/phases.go
+++ b/internal/scenario/accounts/phases.go
@@ -10,7 +10,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// phases returns the phases in order.
+// phases returns the scenario's phases in the order in which they run.
 func (s *scenario) phases() []testbed.Phase {
 	return []testbed.Phase{
 		{Name: "meet", Run: s.waitUntilReady},
@@ -24,19 +24,19 @@
 	}
 }
 
-// waitUntilReady lets members find each other and agree on a leader, creates the tree, and starts the
-// writers.
+// waitUntilReady waits until members have discovered each other and elected a leader, creates the tree,
+// and starts the writers.
 func (s *scenario) waitUntilReady(ctx context.Context, _ *mrand.Rand) error {
 	_, hasConverged := testbed.Await(ctx, 15*time.Second, func() bool { return s.watcher.hasConverged(s.Names) })
 	if !hasConverged && ctx.Err() == nil {
-		return fmt.Errorf("members did not meet: %s", s.watcher.describe())
+		return fmt.Errorf("members did not elect a leader and converge: %s", s.watcher.describe())
 	}
 	if err := s.createTree(ctx); err != nil {
 		return err
 	}
 	writerCtx, stop := context.WithCancel(ctx)
 	s.stopWriters = stop
-	const firstStream = 100 // of random numbers, of the scenario's seed
+	const firstStream = 100 // the first writer's stream of random numbers
 	for i, w := range s.tree.writers() {
 		w.scenario, w.rng = s, mrand.New(mrand.NewPCG(s.Options.Seed, uint64(firstStream+i)))
 		s.writers.Go(func() { w.run(writerCtx) })
@@ -44,16 +44,16 @@
 	return nil
 }
 
-// noFault has the writers write without a fault.
+// noFault lets the writers propose changes while there is no fault.
 func (s *scenario) noFault(ctx context.Context, _ *mrand.Rand) error {
 	fake.Sleep(ctx, 2*time.Second)
 	return nil
 }
 
-// killedLeader kills the leader's agent, twice, and starts it again.
+// killedLeader kills the agent of the leader and starts it again, twice.
 func (s *scenario) killedLeader(ctx context.Context, _ *mrand.Rand) error {
 	for range 2 {
-		name, err := s.leaderToLose(ctx)
+		name, err := s.loseLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -68,18 +68,18 @@
 	return nil
 }
 
-// oneWayPartition cuts one direction: what the leader sends to another voter, then all that is sent
-// to the leader, which must not go on leading.
+// oneWayPartition cuts links in one direction only: first from the leader to another voter, then from
+// all members to the leader, which must then step down.
 func (s *scenario) oneWayPartition(ctx context.Context, rng *mrand.Rand) error {
 	name := s.watcher.leader()
-	deaf := s.randomAgent(rng, true, name)
-	s.beginFault(deaf)
-	s.Proxy.Set(name, deaf, linkCut)
+	unreachable := s.randomAgent(rng, true, name)
+	s.beginFault(unreachable)
+	s.Proxy.Set(name, unreachable, linkCut)
 	fake.Sleep(ctx, 1500*time.Millisecond)
-	s.endFault(deaf)
+	s.endFault(unreachable)
 	s.Proxy.Heal()
-	s.waitForRejoin(ctx, "oneway", deaf)
-	name, err := s.leaderToLose(ctx)
+	s.waitForRejoin(ctx, "oneway", unreachable)
+	name, err := s.loseLeader(ctx)
 	if err != nil {
 		return err
 	}
@@ -91,23 +91,24 @@
 	return nil
 }
 
-// isolatedMembers cuts off a follower for longer than the lease, and then the leader, while changes
-// are proposed to it that it can't commit.
+// isolatedMembers isolates a non-voter for longer than the lease, and then the leader, which is sent
+// proposals meanwhile that it can't commit.
 func (s *scenario) isolatedMembers(ctx context.Context, rng *mrand.Rand) error {
 	const beyondLease = leaseTimeout + 1200*time.Millisecond
-	lone := s.randomAgent(rng, false)
-	s.beginFault(lone)
-	s.Proxy.SetBetween([]string{lone}, s.allExcept(lone), linkCut)
+	isolated := s.randomAgent(rng, false)
+	s.beginFault(isolated)
+	s.Proxy.SetBetween([]string{isolated}, s.allExcept(isolated), linkCut)
 	fake.Sleep(ctx, beyondLease)
-	last, isUp := s.watcher.latest(lone)
+	last, isUp := s.watcher.latest(isolated)
 	committed := s.committedBefore(time.Now().Add(-leaseTimeout - 200*time.Millisecond))
 	if isUp && last.WithinLease && last.State.Index < committed {
-		s.violationf("fresh", "%s reports that it is within its lease, %v after it was cut off", lone, beyondLease)
+		s.violationf("fresh", "%s reports that it is within its lease %v after it was isolated",
+			isolated, beyondLease)
 	}
-	s.endFault(lone)
+	s.endFault(isolated)
 	s.Proxy.Heal()
-	s.waitForRejoin(ctx, "apart", lone)
-	name, err := s.leaderToLose(ctx)
+	s.waitForRejoin(ctx, "apart", isolated)
+	name, err := s.loseLeader(ctx)
 	if err != nil {
 		return err
 	}
@@ -127,9 +128,10 @@
 	return nil
 }
 
-// fullDisk fills the leader's disk, and frees it.
+// fullDisk fills the leader's disk, checks that the leader steps down and reports the error, and frees
+// the disk.
 func (s *scenario) fullDisk(ctx context.Context, _ *mrand.Rand) error {
-	name, err := s.leaderToLose(ctx)
+	name, err := s.loseLeader(ctx)
 	if err != nil {
 		return err
 	}
@@ -138,7 +140,8 @@
 	}
 	fake.Sleep(ctx, 2500*time.Millisecond)
 	if l, up := s.watcher.latest(name); !up || l.DiskError == "" || l.Role == "leader" {
-		s.violationf("disk", "%s with a full disk: up %v, role %s, disk %q", name, up, l.Role, l.DiskError)
+		s.violationf("disk", "%s with a full disk: up %v, role %s, disk error %q",
+			name, up, l.Role, l.DiskError)
 	}
 	s.endFault(name)
 	if err := s.Agents[name].SetDiskFull(false); err != nil {
@@ -148,13 +151,13 @@
 	return nil
 }
 
-// pausedAgents pauses a follower, then the leader, and resumes them.
+// pausedAgents pauses and resumes a non-voter, then the leader.
 func (s *scenario) pausedAgents(ctx context.Context, rng *mrand.Rand) error {
 	for _, isFollower := range [...]bool{true, false} {
 		name := s.randomAgent(rng, false)
 		if isFollower {
 			s.beginFault(name)
-		} else if lead, err := s.leaderToLose(ctx); err != nil {
+		} else if lead, err := s.loseLeader(ctx); err != nil {
 			return err
 		} else {
 			name = lead
@@ -168,29 +171,29 @@
 	return nil
 }
 
-// manyFaults has several faults at once: the leader is killed, a follower is cut off one way, and
-// another is paused.
+// manyFaults combines several faults: the leader is killed, a non-voter receives no messages, and another
+// non-voter is paused.
 func (s *scenario) manyFaults(ctx context.Context, rng *mrand.Rand) error {
-	deaf := s.randomAgent(rng, false)
-	slow := s.randomAgent(rng, false, deaf)
-	name, err := s.leaderToLose(ctx)
+	unreachable := s.randomAgent(rng, false)
+	paused := s.randomAgent(rng, false, unreachable)
+	name, err := s.loseLeader(ctx)
 	if err != nil {
 		return err
 	}
-	s.beginFault(deaf)
-	s.beginFault(slow)
+	s.beginFault(unreachable)
+	s.beginFault(paused)
 	s.Agents[name].Kill()
-	s.Proxy.SetOneWay(s.allExcept(deaf), []string{deaf}, linkCut)
-	s.Agents[slow].Pause()
+	s.Proxy.SetOneWay(s.allExcept(unreachable), []string{unreachable}, linkCut)
+	s.Agents[paused].Pause()
 	fake.Sleep(ctx, 2*time.Second)
-	all := []string{name, deaf, slow}
+	all := []string{name, unreachable, paused}
 	for _, one := range all {
 		s.endFault(one)
 	}
 	if err := s.Agents[name].Start(); err != nil {
 		return err
 	}
-	s.Agents[slow].Resume()
+	s.Agents[paused].Resume()
 	s.Proxy.Heal()
 	for _, one := range all {
 		s.waitForRejoin(ctx, "many", one)
--- a/internal/scenario/accounts/proposals.go
+++ b/internal/scenario/accounts/proposals.go
@@ -14,31 +14,31 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// proposalStatus is what is known of a proposal's end.
+// proposalStatus says whether the outcome of a proposal is known to its author.
 type proposalStatus int
 
 const (
-	outcomeUnknown proposalStatus = iota // it may have been accepted, or may yet be
-	outcomeKnown                         // outcome has it
-	notProposed                          // it is not part of the log
+	outcomeUnknown proposalStatus = iota // the answer was lost; the entry may be accepted, even later
+	outcomeKnown                         // the outcome is in proposal.outcome
+	notProposed                          // the entry did not reach the log
 )
 
-// proposal is an entry that was proposed, as its author saw it.
+// proposal is an entry that was proposed, with the outcome as its author observed it.
 type proposal struct {
 	entry                logentry.Entry
 	raw                  []byte // the entry as its agent forwards it
 	label                string
-	brokenRule           string // if it is accepted; empty if it may be
+	brokenRule           string // the rule that accepting it breaks; empty if it may be accepted
 	agent                string
 	calledAt, returnedAt time.Time
 	status               proposalStatus
 	outcome              logentry.Outcome
-	failure              string // why the outcome is not known
+	failure              string // the error, unless the outcome is known
 }
 
 func (p *proposal) isAccepted() bool { return p.status == outcomeKnown && p.outcome.Accepted }
 
-// metric returns the metric that counts proposals of this end.
+// metric returns the name of the metric that counts proposals with this status and outcome.
 func (p *proposal) metric() string {
 	switch {
 	case p.status == outcomeUnknown:
@@ -51,7 +51,7 @@
 	return "refused"
 }
 
-// history is all that was proposed.
+// history records all proposals, revoked chains of grants and races.
 type history struct {
 	mu            sync.Mutex
 	proposals     []*proposal
@@ -59,7 +59,8 @@
 	races         []race
 }
 
-// grantChain is a chain of grants that was revoked at an index: nothing by its keys is accepted later.
+// grantChain is a chain of grants that was revoked at a log index. No proposal that one of its keys
+// signed may be accepted at a later index.
 type grantChain struct {
 	keyNames  []string
 	revokedAt uint64
@@ -71,10 +72,10 @@
 	h.proposals = append(h.proposals, o)
 }
 
-// race is two proposals that were made at the same moment.
+// race is a pair of proposals that were submitted concurrently.
 type race [2]*proposal
 
-// changeOn returns a change of a tree.
+// changeOn returns a change with the version of a tree as its base.
 func changeOn(base account.State, ops ...account.Op) account.Change {
 	return account.Change{BaseVersion: base.Version, Ops: ops}
 }
@@ -91,8 +92,8 @@
 	h.revokedChains = append(h.revokedChains, chain)
 }
 
-// propose signs a change and proposes it to an agent. brokenRule is the rule that is broken if it is
-// accepted, or empty.
+// propose signs a change and proposes it to an agent. brokenRule is the rule that accepting the change
+// breaks, or empty if it may be accepted.
 func (s *scenario) propose(k key, agent string, c account.Change, label, brokenRule string) *proposal {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -113,7 +114,7 @@
 		return &proposal{status: notProposed, failure: err.Error()}
 	}
 	o := &proposal{entry: entry, raw: raw, label: label, brokenRule: brokenRule, agent: agent}
-	s.proposalSlots[agent] <- struct{}{} // the agent limits its calls, and the watcher needs one
+	s.proposalSlots[agent] <- struct{}{} // the agent limits concurrent calls, and the watcher needs one
 	o.calledAt = time.Now()
 	var answer struct {
 		Outcome logentry.Outcome `json:"outcome"`
--- a/internal/scenario/accounts/scenario.go
+++ b/internal/scenario/accounts/scenario.go
@@ -1,9 +1,10 @@
-// Package accounts is the scenario of accounts and teams that many write at the same time: real
-// agents that replicate the log, and faults between them. All answers are checked against the same
-// pure code that the log applies, outside of the agents and with all of its safeguards.
+// Package accounts runs a scenario in which many writers change accounts and teams concurrently, through
+// real agents that replicate the log, while faults are injected between the agents. All answers are
+// checked against the pure code that applies log entries, which runs here outside of the agents and
+// with all of its safeguards enabled.
 //
 // Play runs the phases one after another on its caller's goroutine. A watcher polls each agent, and
-// writers propose changes, each on a goroutine that has ended when Play returns.
+// writers propose changes, each on a goroutine of its own; all have ended when Play returns.
 package accounts
 
 import (
@@ -19,50 +20,50 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// Options size the scenario.
+// Options configure a run of the scenario.
 type Options struct {
 	Seed                        uint64
 	Nodes, Voters, Zones, Teams int
 	Steps                       []string // the phases to run, empty for all; the first always runs
-	Binary                      string   // the node's; the agent's is beside it
+	Binary                      string   // of the node; the agent's binary is in the same directory
 	Mutation                    string   // a key of Mutations, or empty
 	Progress                    io.Writer
 }
 
-// Mutations are the safeguards that the scenario can switch off, all in the agent, by what the agent
-// does without them.
+// Mutations are the safeguards that the scenario can disable, by name. All are in the agent. Each value
+// describes the agent's behavior without the safeguard.
 var Mutations = map[string]string{
 	"commit":  "a proposal is applied before it is committed",
 	"parent":  "a child may hold more than its parent",
-	"subtree": "a grant reaches every path",
+	"subtree": "a grant applies to every path",
 	"revoke":  "a delegated grant stays valid when the grant it came from is revoked",
-	"half":    "what comes before the failing part of a change stays",
-	"stale":   "a member without contact reports that it is within its lease",
+	"half":    "the operations before the failing one of a change stay applied",
+	"stale":   "a member without contact to the leader reports that it is within its lease",
 }
 
 const (
-	leaseTimeout  = 2 * time.Second
-	clockSkew     = 200 * time.Millisecond // between members' clocks
-	meanMovePause = 200 * time.Millisecond // of a writer between two moves
-	requestRate   = 60                     // transactions a second beside it all
-	serverCount   = 6
-	agentCalls    = 3                     // proposals under way at each agent
-	pollInterval  = 20 * time.Millisecond // of each agent
-	learningTime  = 14 * time.Second      // until nodes know the usual rate: before, they reject some
+	leaseTimeout         = 2 * time.Second
+	clockSkew            = 200 * time.Millisecond // between the clocks of two members
+	meanActionPause      = 200 * time.Millisecond // of a writer between two actions
+	backgroundRate       = 60                     // background transactions per second
+	serverCount          = 6
+	maxProposalsPerAgent = 3                     // concurrent proposals at each agent
+	pollInterval         = 20 * time.Millisecond // between two polls of an agent
+	rateLearningTime     = 14 * time.Second      // nodes reject some requests until they learn the usual rate
 
-	historyTimeout     = 10 * time.Second // of the search for an order of the history
-	maxLeaderGap       = 3 * time.Second  // from the loss to the next accepted change: three heartbeats
-	convergenceTimeout = 5 * time.Second  // once all faults have ended
-	rejoinTimeout      = 15 * time.Second // until a voter has its vote again
+	historyTimeout     = 10 * time.Second // for the search for an order of the history
+	maxLeaderGap       = 3 * time.Second  // from losing a leader to the next accepted change: 3 heartbeats
+	convergenceTimeout = 5 * time.Second  // from the end of all faults
+	rejoinTimeout      = 15 * time.Second // from the end of a fault until a voter has its vote again
 )
 
-// scenario is one run.
+// scenario is one run of the scenario.
 type scenario struct {
 	*testbed.Testbed
 	tree          *tree
 	watcher       *watcher
 	history       *history
-	proposalSlots map[string]chan struct{} // by agent: the proposals under way
+	proposalSlots map[string]chan struct{} // by agent: limits concurrent proposals
 
 	writers     sync.WaitGroup
 	stopWriters context.CancelFunc
@@ -72,15 +73,15 @@
 	leaderLostAt []time.Time
 }
 
-// period is how long a fault lasted; until is zero while it does.
+// period is the time during which a fault lasted; until is zero while it lasts.
 type period struct{ from, until time.Time }
 
-// Play runs the scenario: teams change routes, limits and grants at the same time through different
-// agents, while leaders die, links break, a disk fills up and agents stall. An error means that the
-// run could not be made; broken rules are in the result.
+// Play runs the scenario: teams change routes, limits and grants concurrently through different agents,
+// while leaders are killed, links are cut, a disk fills up and agents are paused. It returns an error if
+// the scenario could not run; violations of rules are in the result.
 func Play(ctx context.Context, o Options) (*testbed.Result, error) {
 	if _, ok := Mutations[o.Mutation]; o.Mutation != "" && !ok {
-		return nil, fmt.Errorf("no mutation %q", o.Mutation)
+		return nil, fmt.Errorf("unknown mutation %q", o.Mutation)
 	}
 	tree, err := newTree(o.Teams)
 	if err != nil {
@@ -105,7 +106,7 @@
 	s := newScenario(bed, tree)
 	defer s.watcher.close()
 	s.ScaledDown = fmt.Sprintf("%d agents in %d zones, all on one machine; %d teams on two levels "+
-		"below %d accounts; a lease of %v; each agent is looked at every %v",
+		"below %d accounts; a lease of %v; each agent is polled every %v",
 		o.Nodes, o.Zones, o.Teams, len(tree.admins), leaseTimeout, pollInterval)
 	return s.Result, s.run(ctx, o.Steps)
 }
@@ -121,17 +122,17 @@
 		faultPeriods:  map[string][]period{},
 	}
 	for _, name := range s.Names {
-		s.proposalSlots[name] = make(chan struct{}, agentCalls)
+		s.proposalSlots[name] = make(chan struct{}, maxProposalsPerAgent)
 	}
 	return s
 }
 
-// testbedOptions returns the scenario's testbed.
+// testbedOptions returns the options of the scenario's testbed.
 func testbedOptions(o Options, tree *tree) testbed.Options {
 	options := testbed.Options{
 		Scenario: "accounts", Seed: o.Seed, Nodes: o.Nodes, Servers: serverCount, Voters: o.Voters,
 		Binary: o.Binary, Mutation: o.Mutation, Progress: o.Progress,
-		Rate: requestRate, Ramp: 2 * time.Second, BudgetWindow: 1500 * time.Millisecond,
+		Rate: backgroundRate, Ramp: 2 * time.Second, BudgetWindow: 1500 * time.Millisecond,
 		LeaseTimeout: 3 * time.Second, RetryRatio: 0.3,
 	}
 	for i := range o.Zones {
@@ -151,7 +152,7 @@
 	return options
 }
 
-// run runs the phases, lets all members converge, and checks.
+// run runs the phases, waits until all members have converged, and checks the rules.
 func (s *scenario) run(ctx context.Context, chosen []string) error {
 	defer s.writers.Wait()
 	defer func() { s.stopWriters() }()
--- a/internal/scenario/accounts/staleness.go
+++ b/internal/scenario/accounts/staleness.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// checkStaleness checks each sample of a member's state: its index never falls while the member
-// runs, it is not ahead of what was proposed, and the member is not further behind than it reports.
+// checkStaleness checks each sample of a member's state: its index does not decrease while the member
+// runs, its index is not that of an entry that was proposed later, and the member is no further behind
+// than it reports.
 func (s *scenario) checkStaleness(proposals []*proposal) {
 	answers := newAnswerIndex(proposals)
 	calledAt := map[uint64]time.Time{} // by index
@@ -24,31 +25,32 @@
 				name, sample.askedAt.Sub(list[0].askedAt).Round(time.Millisecond),
 				sample.Index, sample.WithinLease, sample.LastContactMillis)
 			if i > 0 && sample.Index < list[i-1].Index && !s.hadFault(name, list[i-1].answeredAt, sample.answeredAt) {
-				s.violationf("falls", "%s; it was %d before", description, list[i-1].Index)
+				s.violationf("falls", "%s; index decreased from %d", description, list[i-1].Index)
 			}
 			if at, ok := calledAt[sample.Index]; ok && at.After(sample.answeredAt) {
-				s.violationf("ahead", "%s, which was not proposed yet", description)
+				s.violationf("ahead", "%s; the entry with this index had not been proposed yet", description)
 			}
 			s.checkNotBehind(sample, answers, description)
 		}
 	}
 }
 
-// checkNotBehind checks that a member within its lease has all that was answered a lease before, and
-// a member that reports its last contact all that was answered before that.
+// checkNotBehind checks that a member within its lease has all entries that were answered before the
+// start of that lease, and that a member that reports the age of its last contact has all entries that
+// were answered before that contact.
 func (s *scenario) checkNotBehind(sample stateSample, answers answerIndex, description string) {
 	leaseBefore := answers.before(sample.askedAt.Add(-leaseTimeout - sampleSlack))
 	if sample.WithinLease && sample.Index < leaseBefore {
-		s.violationf("stale", "%s; index %d was answered a lease before", description, leaseBefore)
+		s.violationf("stale", "%s; index %d was answered more than a lease before", description, leaseBefore)
 	}
 	contactAge := time.Duration(sample.LastContactMillis) * time.Millisecond
 	contactBefore := answers.before(sample.askedAt.Add(-contactAge - sampleSlack))
 	if sample.LastContactMillis >= 0 && sample.Index < contactBefore {
-		s.violationf("stale", "%s; index %d was answered before that contact", description, contactBefore)
+		s.violationf("stale", "%s; index %d was answered before the last contact", description, contactBefore)
 	}
 }
 
-// hadFault reports whether an agent had a fault between two times: then it may have been killed.
+// hadFault reports whether an agent had a fault between two times, in which case it may have been killed.
 func (s *scenario) hadFault(name string, from, until time.Time) bool {
 	return slices.ContainsFunc(s.faultPeriods[name], func(f period) bool {
 		return f.from.Before(until) && (f.until.IsZero() || f.until.After(from))
--- a/internal/scenario/accounts/timing.go
+++ b/internal/scenario/accounts/timing.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// sampleSlack is what a sample may take, beside the lease and the age of the last contact.
+// sampleSlack is the delay of a sample that is tolerated in addition to the lease or to the age of the
+// last contact.
 const sampleSlack = 100 * time.Millisecond
 
 // committedBefore returns the greatest index that was answered before a time.
@@ -21,8 +22,8 @@
 	return index
 }
 
-// answerIndex has the answers in order, each with the greatest index so far. It is committedBefore for
-// many times.
+// answerIndex has the times of all answers in order, each with the greatest log index answered until
+// then. It answers the query of committedBefore for many times by binary search.
 type answerIndex struct {
 	answeredAt    []time.Time
 	greatestIndex []uint64
@@ -49,18 +50,18 @@
 	return 0
 }
 
-// measureTimes measures how long changes take to reach all running members, and how long no change is
-// accepted when a leader is lost.
+// measureTimes measures how long accepted changes take to reach all members without a fault, and how long
+// no change is accepted after the loss of a leader. A gap above maxLeaderGap is a violation.
 func (s *scenario) measureTimes(proposals []*proposal) {
-	var answerTimes, reachTimes, gaps []time.Duration
+	var answerTimes, propagationTimes, gaps []time.Duration
 	s.watcher.mu.Lock()
 	for _, o := range proposals {
 		if !o.isAccepted() {
 			continue
 		}
 		answerTimes = append(answerTimes, o.returnedAt.Sub(o.calledAt))
-		if took := s.timeToReachAll(o); took > 0 {
-			reachTimes = append(reachTimes, took)
+		if took := s.propagationTime(o); took > 0 {
+			propagationTimes = append(propagationTimes, took)
 		}
 	}
 	s.watcher.mu.Unlock()
@@ -71,18 +72,18 @@
 			gaps = append(gaps, gap)
 			continue
 		}
-		s.violationf("leader", "lost %v before the end of the scenario, "+
-			"the next change was accepted %v later, at most %v are allowed",
+		s.violationf("leader", "leader lost %v before the end of the scenario, "+
+			"the next change was accepted %v later, want at most %v",
 			time.Since(lostAt).Round(time.Millisecond), gap.Round(time.Millisecond), maxLeaderGap)
 	}
 	s.setQuantiles("answer", answerTimes)
-	s.setQuantiles("all_members", reachTimes)
+	s.setQuantiles("all_members", propagationTimes)
 	s.setQuantiles("leader_lost", gaps)
 }
 
-// timeToReachAll returns how long a change took to reach the last member without a fault; the
-// watcher's lock is held.
-func (s *scenario) timeToReachAll(o *proposal) (latest time.Duration) {
+// propagationTime returns how long a change took to reach the last member without a fault. The caller
+// holds the watcher's lock.
+func (s *scenario) propagationTime(o *proposal) (latest time.Duration) {
 	for name, list := range s.watcher.samples {
 		n := sort.Search(len(list), func(i int) bool {
 			return list[i].answeredAt.After(o.calledAt) && list[i].Index >= o.outcome.Index
@@ -94,7 +95,8 @@
 	return latest
 }
 
-// nextAccepted returns when the first change proposed after a time was accepted; zero if none was.
+// nextAccepted returns the time of the first acceptance of a change that was proposed after a time; zero
+// if none was accepted.
 func nextAccepted(proposals []*proposal, after time.Time) (next time.Time) {
 	for _, o := range proposals {
 		if o.isAccepted() && o.calledAt.After(after) && (next.IsZero() || o.returnedAt.Before(next)) {
--- a/internal/scenario/accounts/tree.go
+++ b/internal/scenario/accounts/tree.go
@@ -23,7 +23,7 @@
 
 func (k key) name() string { return account.KeyName(k.public()) }
 
-// team is a team, or an account as its administrator sees it.
+// team is a team, or an account with its administrator's key.
 type team struct {
 	key
 	path     string
@@ -31,7 +31,7 @@
 	children []*team // in the tree's order
 }
 
-// tree is what is created at first: accounts, teams, and teams of teams.
+// tree has the accounts, the teams and the teams of teams that exist when the writers start.
 type tree struct {
 	root   key
 	admins []*team // of the accounts
@@ -39,11 +39,11 @@
 }
 
 const (
-	teamsOfAccount = 6
-	teamsOfTeam    = 2 // of the teams on the first level
+	teamsPerAccount = 6
+	teamsPerTeam    = 2 // below each team on the first level
 )
 
-// newTree names accounts and teams and generates their keys.
+// newTree returns a tree with a number of teams and their accounts, and generates their keys.
 func newTree(teams int) (*tree, error) {
 	var errs []error
 	generate := func() key {
@@ -53,11 +53,11 @@
 	}
 	t := &tree{root: generate()}
 	for i := range teams {
-		if i%teamsOfAccount == 0 {
+		if i%teamsPerAccount == 0 {
 			t.admins = append(t.admins, &team{key: generate(), path: fmt.Sprintf("acc%d", len(t.admins))})
 		}
 		parent := t.admins[len(t.admins)-1]
-		if n := len(parent.children); n > 0 && len(parent.children[n-1].children) < teamsOfTeam {
+		if n := len(parent.children); n > 0 && len(parent.children[n-1].children) < teamsPerTeam {
 			parent = parent.children[n-1]
 		}
 		one := &team{key: generate(), path: fmt.Sprintf("%s/t%d", parent.path, i), parent: parent}
@@ -75,7 +75,8 @@
 	return t.parent.level() + 1
 }
 
-// initialNode is what a team has at first: its children together hold a little less than it has.
+// initialNode returns the limits and priority that a team is created with. The limits of its children
+// add up to a little less than its own.
 func (t *team) initialNode() *account.Node {
 	limits := [...]account.Limits{
 		{Connections: 3000, SetupRate: 300, RetryRate: 60, ProbeRate: 60, Routes: 200, Teams: 60},
@@ -85,13 +86,14 @@
 	return &account.Node{Limits: limits, Priority: len(t.path) % 3}
 }
 
-// initialGrantOp grants a team's key all permissions, signed by the parent's key: the deeper the
-// level, the less often the grant can be delegated.
+// initialGrantOp returns the operation that grants a team's key all permissions; the parent's key signs
+// it. The delegation depth of the grant decreases with the team's level.
 func (t *team) initialGrantOp() account.Op {
 	return createGrantOp(t.key, t.path, 4-t.level(),
 		account.PermissionRoutes, account.PermissionLimits, account.PermissionTeams, account.PermissionGrants)
 }
 
+// createGrantOp returns the operation that grants a key permissions on a path.
 func createGrantOp(k key, path string, depth int, permissions ...string) account.Op {
 	grant := &account.Grant{
 		Key: k.name(), PublicKey: k.public(), Path: path, Permissions: permissions, DelegationDepth: depth,
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// proposeUntilAccepted proposes a change until it is accepted.
+// proposeUntilAccepted proposes a change repeatedly until it is accepted, and fails after 10 s.
 func (s *scenario) proposeUntilAccepted(ctx context.Context, k key, ops ...account.Op) error {
 	var o *proposal
 	for begun := time.Now(); time.Since(begun) < 10*time.Second; {
@@ -130,7 +132,7 @@
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("%q was not created: %+v %s", ops[0].Path, o.outcome, o.failure)
+	return fmt.Errorf("create %q: not accepted within 10 s: %+v %s", ops[0].Path, o.outcome, o.failure)
 }
 
 // writers returns a writer for each team and for each account's administrator.
--- a/internal/scenario/accounts/watcher.go
+++ b/internal/scenario/accounts/watcher.go
@@ -24,24 +24,24 @@
 	agentapi.State
 }
 
-// treeSample is what a member holds at an index.
+// treeSample is the state that a member held at an index.
 type treeSample struct {
 	agent     string
 	state     *logentry.State
-	checksum  [sha256.Size]byte // of the answer
+	checksum  [sha256.Size]byte // of the agent's answer
 	sampledAt time.Time
 }
 
-// watcher polls all agents.
+// watcher polls all agents and records their states and trees.
 type watcher struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu        sync.Mutex
-	samples   map[string][]stateSample // by agent, in order
-	lastTrees map[string]*logentry.State
-	isUp      map[string]bool          // it answered the last call
-	trees     map[uint64][]*treeSample // by index, those with different checksums
+	samples   map[string][]stateSample   // by agent, in order of time
+	lastTrees map[string]*logentry.State // by agent
+	isUp      map[string]bool            // by agent: it answered the last call
+	trees     map[uint64][]*treeSample   // by index, one for each distinct checksum
 }
 
 func newWatcher(agents map[string]*testbed.Agent) *watcher {
@@ -63,13 +63,13 @@
 	return w
 }
 
-// close ends the polls.
+// close ends polling and waits for the goroutines.
 func (w *watcher) close() {
 	w.cancel()
 	w.wg.Wait()
 }
 
-// poll asks one agent for its state, and for its tree if that is at another index.
+// poll requests one agent's state, and its tree if the state's index differs from that of the last tree.
 func (w *watcher) poll(name string, a *testbed.Agent) {
 	sample := stateSample{askedAt: time.Now()}
 	err := a.Call(agentapi.OperatorRequest{Method: "state"}, &sample.State)
@@ -87,7 +87,7 @@
 	var raw json.RawMessage
 	state := &logentry.State{}
 	if a.Call(agentapi.OperatorRequest{Method: "record"}, &raw) != nil || json.Unmarshal(raw, state) != nil {
-		return // it has just stopped
+		return // the agent stopped after its first answer
 	}
 	tree := &treeSample{name, state, sha256.Sum256(raw), time.Now()}
 	w.mu.Lock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// latest returns the last state of an agent, and whether it answered the last call.
+// latest returns the last sample of an agent's state, and whether the agent answered the last call.
 func (w *watcher) latest(name string) (sample stateSample, isUp bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +111,7 @@
 	return sample, w.isUp[name]
 }
 
-// tree returns the tree that an agent last had, and its index.
+// tree returns the last tree that an agent returned, and its index.
 func (w *watcher) tree(name string) (account.State, uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,7 +121,8 @@
 	return account.State{}, 0
 }
 
-// waitForIndex waits until an agent has an entry. It returns false if that took more than a second.
+// waitForIndex waits until an agent has applied the entry at an index. It returns false if that takes
+// more than a second.
 func (w *watcher) waitForIndex(ctx context.Context, name string, index uint64) bool {
 	currentIndex := func() uint64 {
 		_, at := w.tree(name)
@@ -130,7 +131,8 @@
 	return testbed.AfterIndex(ctx, currentIndex, index, time.Second, func() {})
 }
 
-// leader returns the member that reports to be the leader; empty for none.
+// leader returns the name of a member that reports itself as leader within its lease; empty if there is
+// none.
 func (w *watcher) leader() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,7 +145,8 @@
 	return ""
 }
 
-// hasConverged reports whether members all answer, are within their lease and hold the same.
+// hasConverged reports whether all members answer, are within their lease and hold the same state, and
+// one of them is the leader.
 func (w *watcher) hasConverged(names []string) bool {
 	first, _ := w.latest(names[0])
 	for _, name := range names {
@@ -155,7 +158,7 @@
 	return w.leader() != ""
 }
 
-// hasCurrentTrees reports whether the trees of members are known at their present index.
+// hasCurrentTrees reports whether the last tree of each member has the index of its last state.
 func (w *watcher) hasCurrentTrees(names []string) bool {
 	for _, name := range names {
 		l, _ := w.latest(name)
@@ -166,7 +169,7 @@
 	return true
 }
 
-// describe returns the last states of all agents, for people.
+// describe returns the last states of all agents as text for error messages.
 func (w *watcher) describe() string {
 	var b strings.Builder
 	w.mu.Lock()
--- a/internal/scenario/accounts/writer.go
+++ b/internal/scenario/accounts/writer.go
@@ -12,33 +12,34 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// The rules that an accepted change may break by itself.
+// The names of the rules that a single accepted change can break.
 const (
-	ruleParent  = "sums"    // children hold more than their parent
-	ruleSubtree = "subtree" // it reaches outside the key's subtree
-	ruleHalf    = "half"    // a change is applied in part
-	ruleTwice   = "twice"   // an entry is applied twice
+	ruleParentLimit = "sums"    // the limits of children stay within their parent's
+	ruleSubtree     = "subtree" // a change stays within the subtree of its key's grant
+	ruleAtomic      = "half"    // a change is applied as a whole or not at all
+	ruleOnce        = "twice"   // an entry is applied only once
 )
 
-// halfRouteName is the name of a route that is only put by changes of which another part fails.
-const halfRouteName = "half"
+// partialRouteName is the name of a route that only occurs in changes with another operation that fails, so
+// no member may ever hold it.
+const partialRouteName = "half"
 
-// maxAccepted is how many of its accepted entries a writer keeps to replay.
+// maxAccepted is how many of its latest accepted entries a writer keeps for replays.
 const maxAccepted = 8
 
-// writer is a team that makes moves, each through random agents.
+// writer performs random actions as one team, each through random agents.
 type writer struct {
 	*team
 	scenario *scenario
 	rng      *rand.Rand
-	accepted []logentry.Entry // the last few of its own
+	accepted []logentry.Entry // the latest of its own entries, at most maxAccepted
 }
 
-// move is something that a writer does, and how often.
-type move struct {
+// action is an action of a writer, with its relative frequency.
+type action struct {
 	name    string
 	weight  int
-	applies func(*writer) bool // nil for all writers
+	applies func(*writer) bool // whether a writer can perform it; nil for all writers
 	run     func(*writer, context.Context)
 }
 
@@ -47,7 +48,7 @@
 func isTeamWithChildren(w *writer) bool { return hasChildren(w) && isTeam(w) }
 func isTeam(w *writer) bool             { return w.parent != nil }
 
-var moves = []move{
+var actions = []action{
 	{"route", 30, nil, (*writer).putRoute},
 	{"no-route", 8, nil, (*writer).deleteRoute},
 	{"same", 8, isTeam, (*writer).raceWithParent},
@@ -61,17 +62,17 @@
 	{"again", 5, nil, (*writer).replay},
 }
 
-// run makes moves until ctx ends.
+// run performs random actions until ctx ends.
 func (w *writer) run(ctx context.Context) {
-	var applicable []move
+	var applicable []action
 	totalWeight := 0
-	for _, m := range moves {
+	for _, m := range actions {
 		if m.applies == nil || m.applies(w) {
 			applicable = append(applicable, m)
 			totalWeight += m.weight
 		}
 	}
-	for fake.Sleep(ctx, time.Duration(w.rng.ExpFloat64()*float64(meanMovePause))) {
+	for fake.Sleep(ctx, time.Duration(w.rng.ExpFloat64()*float64(meanActionPause))) {
 		n := w.rng.IntN(totalWeight)
 		for _, m := range applicable {
 			if n -= m.weight; n < 0 {
@@ -83,16 +84,17 @@
 	}
 }
 
+// agent returns the name of a random agent.
 func (w *writer) agent() string { return w.scenario.Names[w.rng.IntN(len(w.scenario.Names))] }
 
-// observedTree returns the tree of a random agent, which may be behind.
+// observedTree returns the last tree of a random agent, which may be behind the log.
 func (w *writer) observedTree() account.State {
 	s, _ := w.scenario.watcher.tree(w.agent())
 	return s
 }
 
-// propose proposes a change of an observed tree, signed by a key, and keeps the entry if it was
-// accepted.
+// propose signs a change based on an observed tree and proposes it to a random agent. An accepted entry
+// that breaks no rule is kept for replays.
 func (w *writer) propose(k key, base account.State, label, brokenRule string, ops ...account.Op) *proposal {
 	o := w.scenario.propose(k, w.agent(), changeOn(base, ops...), label, brokenRule)
 	if o.isAccepted() && brokenRule == "" {
@@ -101,14 +103,14 @@
 	return o
 }
 
-// signedChange is a change with the key that signs it.
+// signedChange is a change with the key that is to sign it.
 type signedChange struct {
 	key    key
 	change account.Change
 	label  string
 }
 
-// proposeConcurrently proposes two changes at the same moment, each to a random agent.
+// proposeConcurrently proposes two changes concurrently, each to a random agent.
 func (w *writer) proposeConcurrently(one, other signedChange) race {
 	var both race
 	agent, otherAgent := w.agent(), w.agent()
@@ -119,7 +121,8 @@
 	return both
 }
 
-// putRouteOp puts a route of a team. Its tenant is the team, so that no two teams' routes conflict.
+// putRouteOp returns the operation that puts a route of a team. The route matches the team's path as
+// tenant, so that the routes of two teams do not conflict.
 func (w *writer) putRouteOp(path, name string) account.Op {
 	rate := float64(1 + w.rng.IntN(3))
 	route := &account.Route{
@@ -142,8 +145,8 @@
 		account.Op{Kind: account.DeleteRoute, Path: w.path, Name: w.randomRouteName()})
 }
 
-// raceWithParent has the team and its parent change one route on the same base version: at most one
-// is accepted.
+// raceWithParent proposes changes of one route by the team and by its parent concurrently, with the same
+// base version: at most one of them may be accepted.
 func (w *writer) raceWithParent(_ context.Context) {
 	base, name := w.observedTree(), w.randomRouteName()
 	ours := signedChange{w.key, changeOn(base, w.putRouteOp(w.path, name)), "same"}
@@ -151,7 +154,8 @@
 	w.scenario.history.addRace(w.proposeConcurrently(ours, theirs))
 }
 
-// writeOutsideSubtree writes where the team has no permission: to another team, or its own limits.
+// writeOutsideSubtree proposes a change that the team has no permission for: a route of another team, or
+// the team's own limits.
 func (w *writer) writeOutsideSubtree(_ context.Context) {
 	base, all := w.observedTree(), w.scenario.tree.teams
 	other := all[w.rng.IntN(len(all))]
@@ -165,16 +169,16 @@
 	w.propose(w.key, base, "outside", ruleSubtree, w.putRouteOp(other.path, w.randomRouteName()))
 }
 
-// failHalfway proposes a change of which the second part fails.
+// failHalfway proposes a change whose first operation is valid and whose second fails.
 func (w *writer) failHalfway(_ context.Context) {
 	base := w.observedTree()
-	w.propose(w.key, base, "half", ruleHalf, w.putRouteOp(w.path, halfRouteName),
+	w.propose(w.key, base, "half", ruleAtomic, w.putRouteOp(w.path, partialRouteName),
 		account.Op{Kind: account.DeleteNode, Path: w.path + "/none"})
 }
 
-// replay submits an accepted entry a second time, as anyone can who has a copy of it.
+// replay submits an accepted entry a second time, which anyone with a copy of the entry can do.
 func (w *writer) replay(_ context.Context) {
 	if len(w.accepted) > 0 {
-		w.scenario.submit(w.accepted[w.rng.IntN(len(w.accepted))], w.agent(), "again", ruleTwice)
+		w.scenario.submit(w.accepted[w.rng.IntN(len(w.accepted))], w.agent(), "again", ruleOnce)
 	}
 }
--- a/internal/scenario/accounts/writer_grants.go
+++ b/internal/scenario/accounts/writer_grants.go
@@ -6,8 +6,8 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// revokeChainInUse delegates a grant, has the grantee delegate it once more, and revokes it while it
-// is in use. Both grantees try to use it again once it is known to be revoked.
+// revokeChainInUse delegates a grant to a key, which delegates it to a second key, and revokes the first
+// grant while the second key uses its own. After the revocation, both keys propose a change again.
 func (w *writer) revokeChainInUse(ctx context.Context) {
 	first, err := newKey()
 	second, err2 := newKey()
@@ -31,7 +31,7 @@
 	w.scenario.propose(first, w.agent(), changeOn(base, secondGrant), "grant-revoked", "")
 }
 
-// revoke revokes the first key's grant, while the second key uses its own if it has one.
+// revoke revokes the first key's grant. If the second key has a grant, it proposes a change concurrently.
 func (w *writer) revoke(base account.State, first, second key, hasSecondGrant bool) *proposal {
 	revoke := changeOn(base, account.Op{Kind: account.RevokeGrant, Path: w.path, Name: first.name()})
 	use := changeOn(base, w.putRouteOp(w.path, "line"))
@@ -42,8 +42,8 @@
 	return both[0]
 }
 
-// waitForTree returns the tree of a random agent as soon as it has an accepted proposal; ok is false
-// if the proposal was not accepted or did not arrive in time.
+// waitForTree waits until a random agent has applied a proposal, and returns that agent's tree. ok is
+// false if the proposal was not accepted, or did not reach the agent in time.
 func (w *writer) waitForTree(ctx context.Context, o *proposal) (tree account.State, ok bool) {
 	agent := w.agent()
 	ok = o.isAccepted() && w.scenario.watcher.waitForIndex(ctx, agent, o.outcome.Index)
