--- a/internal/scenario/accounts/checks.go
+++ b/internal/scenario/accounts/checks.go
@@ -68,26 +68,26 @@
 			revokedAt[name] = chain.revokedAt
 		}
 	}
-	for _, o := range proposals {
-		s.AddMetric(o.metric(), 1)
-		if o.brokenRule != "" {
-			s.AddMetric("tried_"+o.brokenRule, 1)
+	for _, p := range proposals {
+		s.AddMetric(p.metric(), 1)
+		if p.brokenRule != "" {
+			s.AddMetric("tried_"+p.brokenRule, 1)
 		}
-		if o.status != outcomeKnown || o.outcome.Index == 0 {
-			if o.isAccepted() {
-				s.AddViolation("answer", "accepted without a log index: "+o.String())
+		if p.status != outcomeKnown || p.outcome.Index == 0 {
+			if p.isAccepted() {
+				s.AddViolation("answer", "accepted without a log index: "+p.String())
 			}
 			continue
 		}
-		if one := byIndex[o.outcome.Index]; one != nil {
-			s.violationf("index", "two proposals at index %d: %v and %v", o.outcome.Index, one, o)
+		if one := byIndex[p.outcome.Index]; one != nil {
+			s.violationf("index", "two proposals at index %d: %v and %v", p.outcome.Index, one, p)
 		}
-		byIndex[o.outcome.Index] = o
-		if o.isAccepted() && o.brokenRule != "" {
-			s.AddViolation(o.brokenRule, "accepted: "+o.String())
+		byIndex[p.outcome.Index] = p
+		if p.isAccepted() && p.brokenRule != "" {
+			s.AddViolation(p.brokenRule, "accepted: "+p.String())
 		}
-		if index, ok := revokedAt[o.entry.KeyName]; ok && o.isAccepted() && o.outcome.Index > index {
-			s.violationf("revoked", "accepted although its grant was revoked at index %d: %v", index, o)
+		if index, ok := revokedAt[p.entry.KeyName]; ok && p.isAccepted() && p.outcome.Index > index {
+			s.violationf("revoked", "accepted although its grant was revoked at index %d: %v", index, p)
 		}
 	}
 	for _, pair := range s.history.races {
--- a/internal/scenario/accounts/history_model.go
+++ b/internal/scenario/accounts/history_model.go
@@ -59,22 +59,22 @@
 		applied:         map[transition]applyResult{},
 		states:          map[logentry.Hash]*logentry.State{first.Hash: first},
 	}
-	for _, o := range proposals {
-		if o.status == outcomeKnown && o.outcome.Index > 0 {
-			m.answeredIndices[o.outcome.Index] = true
+	for _, p := range proposals {
+		if p.status == outcomeKnown && p.outcome.Index > 0 {
+			m.answeredIndices[p.outcome.Index] = true
 		}
 	}
 	return m
 }
 
 // apply applies a proposal to a state, and caches the result.
-func (m *model) apply(s *logentry.State, o *proposal) applyResult {
+func (m *model) apply(s *logentry.State, p *proposal) applyResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := transition{s.Hash, o}
+	t := transition{s.Hash, p}
 	result, ok := m.applied[t]
 	if !ok {
-		result.next, result.outcome = s.Apply(o.raw)
+		result.next, result.outcome = s.Apply(p.raw)
 		m.applied[t], m.states[result.next.Hash] = result, result.next
 	}
 	return result
@@ -82,26 +82,26 @@
 
 // step reports whether a proposal can be the next operation in a state, and returns the state after it.
 // A nil proposal is the end of the history, where all members hold the state with the hash last.
-func (m *model) step(at modelState, o *proposal, last logentry.Hash) (bool, modelState) {
-	if o == nil {
+func (m *model) step(at modelState, p *proposal, last logentry.Hash) (bool, modelState) {
+	if p == nil {
 		return at.Hash == last, modelState{at.State, true}
 	}
 	switch {
 	case at.isFinished:
-		return o.status == outcomeUnknown, at
-	case o.status == outcomeUnknown && (m.answeredIndices[at.Index+1] || at.Hash == last):
+		return p.status == outcomeUnknown, at
+	case p.status == outcomeUnknown && (m.answeredIndices[at.Index+1] || at.Hash == last):
 		return false, at
-	case o.status == outcomeKnown && o.outcome.Index > 0 && o.outcome.Index != at.Index+1:
+	case p.status == outcomeKnown && p.outcome.Index > 0 && p.outcome.Index != at.Index+1:
 		return false, at
 	}
-	result := m.apply(at.State, o)
-	if o.status == outcomeKnown && o.outcome.Index == 0 {
-		return !result.outcome.Accepted && result.outcome.Reason == o.outcome.Reason, at
+	result := m.apply(at.State, p)
+	if p.status == outcomeKnown && p.outcome.Index == 0 {
+		return !result.outcome.Accepted && result.outcome.Reason == p.outcome.Reason, at
 	}
 	if hash, ok := m.hashes[result.next.Index]; ok && hash != result.next.Hash {
 		return false, at
 	}
-	if o.status == outcomeKnown && result.outcome != o.outcome {
+	if p.status == outcomeKnown && result.outcome != p.outcome {
 		return false, at
 	}
 	return true, modelState{result.next, false}
@@ -114,26 +114,29 @@
 ) porcupine.CheckResult {
 	var end int64
 	var all []porcupine.Operation
-	for _, o := range proposals {
-		end = max(end, o.returnedAt.UnixNano()+1)
+	for _, p := range proposals {
+		end = max(end, p.returnedAt.UnixNano()+1)
 	}
-	for _, o := range proposals {
-		if o.status == notProposed {
+	for _, p := range proposals {
+		if p.status == notProposed {
 			continue // it was not logged, so it has no position in the order
 		}
-		returnedAt := o.returnedAt.UnixNano()
-		if o.status == outcomeUnknown {
+		returnedAt := p.returnedAt.UnixNano()
+		if p.status == outcomeUnknown {
 			returnedAt = end + 2
 		}
-		all = append(all, porcupine.Operation{Input: o, Call: o.calledAt.UnixNano(), Return: returnedAt})
+		all = append(all, porcupine.Operation{Input: p, Call: p.calledAt.UnixNano(), Return: returnedAt})
 	}
 	all = append(all, porcupine.Operation{Input: (*proposal)(nil), Call: end, Return: end + 1})
 	return porcupine.CheckOperationsTimeout(porcupine.Model{
 		Partition: partitionByAuthor,
 		Init:      func() any { return modelState{first, false} },
-		Step:      func(state, input, _ any) (bool, any) { return m.step(state.(modelState), input.(*proposal), last) },
+		Step: func(state, input, _ any) (bool, any) {
+			return m.step(state.(modelState), input.(*proposal), last)
+		},
 		Equal: func(a, b any) bool {
-			return a.(modelState).Hash == b.(modelState).Hash && a.(modelState).isFinished == b.(modelState).isFinished
+			return a.(modelState).Hash == b.(modelState).Hash &&
+				a.(modelState).isFinished == b.(modelState).isFinished
 		},
 		Hash: func(state any) uint64 { h := state.(modelState).Hash; return binary.BigEndian.Uint64(h[:]) },
 	}, all, timeout)
@@ -144,11 +147,11 @@
 func partitionByAuthor(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 	var logged []porcupine.Operation
 	rejected := map[string][]porcupine.Operation{}
-	for _, p := range all {
-		if o := p.Input.(*proposal); o != nil && o.status == outcomeKnown && o.outcome.Index == 0 {
-			rejected[o.entry.KeyName] = append(rejected[o.entry.KeyName], p)
+	for _, operation := range all {
+		if p := operation.Input.(*proposal); p != nil && p.status == outcomeKnown && p.outcome.Index == 0 {
+			rejected[p.entry.KeyName] = append(rejected[p.entry.KeyName], operation)
 		} else {
-			logged = append(logged, p)
+			logged = append(logged, operation)
 		}
 	}
 	parts = append(parts, logged)
--- a/internal/scenario/accounts/phases.go
+++ b/internal/scenario/accounts/phases.go
@@ -27,7 +27,9 @@
 // waitUntilReady waits until members have discovered each other and elected a leader, creates the tree,
 // and starts the writers.
 func (s *scenario) waitUntilReady(ctx context.Context, _ *mrand.Rand) error {
-	_, hasConverged := testbed.Await(ctx, 15*time.Second, func() bool { return s.watcher.hasConverged(s.Names) })
+	_, hasConverged := testbed.Await(ctx, 15*time.Second, func() bool {
+		return s.watcher.hasConverged(s.Names)
+	})
 	if !hasConverged && ctx.Err() == nil {
 		return fmt.Errorf("members did not elect a leader and converge: %s", s.watcher.describe())
 	}
--- a/internal/scenario/accounts/proposals.go
+++ b/internal/scenario/accounts/proposals.go
@@ -66,10 +66,10 @@
 	revokedAt uint64
 }
 
-func (h *history) add(o *proposal) {
+func (h *history) add(p *proposal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.proposals = append(h.proposals, o)
+	h.proposals = append(h.proposals, p)
 }
 
 // race is a pair of proposals that were submitted concurrently.
@@ -100,7 +100,8 @@
 		return &proposal{status: notProposed, failure: err.Error()}
 	}
 	entry := logentry.Entry{
-		Kind: logentry.KindAccounts, ProposedAt: time.Now().UnixMilli(), Reason: label, KeyName: k.name(), Body: body,
+		Kind: logentry.KindAccounts, ProposedAt: time.Now().UnixMilli(), Reason: label,
+		KeyName: k.name(), Body: body,
 	}
 	entry.Signature = ed25519.Sign(ed25519.PrivateKey(k), entry.SignedBytes())
 	return s.submit(entry, agent, label, brokenRule)
@@ -113,28 +114,28 @@
 	if err != nil {
 		return &proposal{status: notProposed, failure: err.Error()}
 	}
-	o := &proposal{entry: entry, raw: raw, label: label, brokenRule: brokenRule, agent: agent}
+	p := &proposal{entry: entry, raw: raw, label: label, brokenRule: brokenRule, agent: agent}
 	s.proposalSlots[agent] <- struct{}{} // the agent limits concurrent calls, and the watcher needs one
-	o.calledAt = time.Now()
+	p.calledAt = time.Now()
 	var answer struct {
 		Outcome logentry.Outcome `json:"outcome"`
 	}
 	err = s.Agents[agent].Call(agentapi.OperatorRequest{Method: "propose", Entry: raw}, &answer)
-	o.returnedAt = time.Now()
+	p.returnedAt = time.Now()
 	<-s.proposalSlots[agent]
 	var callError *agentapi.CallError
 	var networkError *net.OpError
 	switch {
 	case err == nil:
-		o.status, o.outcome = outcomeKnown, answer.Outcome
+		p.status, p.outcome = outcomeKnown, answer.Outcome
 	case errors.As(err, &callError) && !callError.OutcomeUnknown,
 		errors.As(err, &networkError) && networkError.Op == "dial":
-		o.status, o.failure = notProposed, err.Error()
+		p.status, p.failure = notProposed, err.Error()
 	default:
-		o.failure = err.Error()
+		p.failure = err.Error()
 	}
-	s.history.add(o)
-	return o
+	s.history.add(p)
+	return p
 }
 
 func (p *proposal) String() string {
--- a/internal/scenario/accounts/staleness.go
+++ b/internal/scenario/accounts/staleness.go
@@ -12,19 +12,21 @@
 func (s *scenario) checkStaleness(proposals []*proposal) {
 	answers := newAnswerIndex(proposals)
 	calledAt := map[uint64]time.Time{} // by index
-	for _, o := range proposals {
-		if o.status == outcomeKnown && o.outcome.Index > 0 {
-			calledAt[o.outcome.Index] = o.calledAt
+	for _, p := range proposals {
+		if p.status == outcomeKnown && p.outcome.Index > 0 {
+			calledAt[p.outcome.Index] = p.calledAt
 		}
 	}
 	s.watcher.mu.Lock()
 	defer s.watcher.mu.Unlock()
 	for name, list := range s.watcher.samples {
 		for i, sample := range list {
-			description := fmt.Sprintf("%s, %v after the start: index %d, within lease %v, last contact %d ms ago",
+			description := fmt.Sprintf(
+				"%s, %v after the start: index %d, within lease %v, last contact %d ms ago",
 				name, sample.askedAt.Sub(list[0].askedAt).Round(time.Millisecond),
 				sample.Index, sample.WithinLease, sample.LastContactMillis)
-			if i > 0 && sample.Index < list[i-1].Index && !s.hadFault(name, list[i-1].answeredAt, sample.answeredAt) {
+			if i > 0 && sample.Index < list[i-1].Index &&
+				!s.hadFault(name, list[i-1].answeredAt, sample.answeredAt) {
 				s.violationf("falls", "%s; index decreased from %d", description, list[i-1].Index)
 			}
 			if at, ok := calledAt[sample.Index]; ok && at.After(sample.answeredAt) {
@@ -35,9 +37,9 @@
 	}
 }
 
-// checkNotBehind checks that a member within its lease has all entries that were answered before the
-// start of that lease, and that a member that reports the age of its last contact has all entries that
-// were answered before that contact.
+// checkNotBehind checks that a member within its lease has all entries that were answered more than
+// leaseTimeout before the sample, and that a member that reports the age of its last contact has all
+// entries that were answered before that contact. Both checks tolerate sampleSlack.
 func (s *scenario) checkNotBehind(sample stateSample, answers answerIndex, description string) {
 	leaseBefore := answers.before(sample.askedAt.Add(-leaseTimeout - sampleSlack))
 	if sample.WithinLease && sample.Index < leaseBefore {
--- a/internal/scenario/accounts/timing.go
+++ b/internal/scenario/accounts/timing.go
@@ -14,9 +14,9 @@
 func (s *scenario) committedBefore(before time.Time) (index uint64) {
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
-	for _, o := range s.history.proposals {
-		if o.status == outcomeKnown && o.returnedAt.Before(before) {
-			index = max(index, o.outcome.Index)
+	for _, p := range s.history.proposals {
+		if p.status == outcomeKnown && p.returnedAt.Before(before) {
+			index = max(index, p.outcome.Index)
 		}
 	}
 	return index
@@ -30,14 +30,14 @@
 }
 
 func newAnswerIndex(proposals []*proposal) (a answerIndex) {
-	list := slices.DeleteFunc(slices.Clone(proposals), func(o *proposal) bool {
-		return o.status != outcomeKnown || o.outcome.Index == 0
+	list := slices.DeleteFunc(slices.Clone(proposals), func(p *proposal) bool {
+		return p.status != outcomeKnown || p.outcome.Index == 0
 	})
 	slices.SortFunc(list, func(x, y *proposal) int { return x.returnedAt.Compare(y.returnedAt) })
 	greatest := uint64(0)
-	for _, o := range list {
-		greatest = max(greatest, o.outcome.Index)
-		a.answeredAt, a.greatestIndex = append(a.answeredAt, o.returnedAt), append(a.greatestIndex, greatest)
+	for _, p := range list {
+		greatest = max(greatest, p.outcome.Index)
+		a.answeredAt, a.greatestIndex = append(a.answeredAt, p.returnedAt), append(a.greatestIndex, greatest)
 	}
 	return a
 }
@@ -55,12 +55,12 @@
 func (s *scenario) measureTimes(proposals []*proposal) {
 	var answerTimes, propagationTimes, gaps []time.Duration
 	s.watcher.mu.Lock()
-	for _, o := range proposals {
-		if !o.isAccepted() {
+	for _, p := range proposals {
+		if !p.isAccepted() {
 			continue
 		}
-		answerTimes = append(answerTimes, o.returnedAt.Sub(o.calledAt))
-		if took := s.propagationTime(o); took > 0 {
+		answerTimes = append(answerTimes, p.returnedAt.Sub(p.calledAt))
+		if took := s.propagationTime(p); took > 0 {
 			propagationTimes = append(propagationTimes, took)
 		}
 	}
@@ -83,13 +83,13 @@
 
 // propagationTime returns how long a change took to reach the last member without a fault. The caller
 // holds the watcher's lock.
-func (s *scenario) propagationTime(o *proposal) (latest time.Duration) {
+func (s *scenario) propagationTime(p *proposal) (latest time.Duration) {
 	for name, list := range s.watcher.samples {
 		n := sort.Search(len(list), func(i int) bool {
-			return list[i].answeredAt.After(o.calledAt) && list[i].Index >= o.outcome.Index
+			return list[i].answeredAt.After(p.calledAt) && list[i].Index >= p.outcome.Index
 		})
-		if n < len(list) && !s.hadFault(name, o.calledAt.Add(-leaseTimeout), list[n].answeredAt) {
-			latest = max(latest, list[n].answeredAt.Sub(o.calledAt))
+		if n < len(list) && !s.hadFault(name, p.calledAt.Add(-leaseTimeout), list[n].answeredAt) {
+			latest = max(latest, list[n].answeredAt.Sub(p.calledAt))
 		}
 	}
 	return latest
@@ -98,9 +98,9 @@
 // nextAccepted returns the time of the first acceptance of a change that was proposed after a time; zero
 // if none was accepted.
 func nextAccepted(proposals []*proposal, after time.Time) (next time.Time) {
-	for _, o := range proposals {
-		if o.isAccepted() && o.calledAt.After(after) && (next.IsZero() || o.returnedAt.Before(next)) {
-			next = o.returnedAt
+	for _, p := range proposals {
+		if p.isAccepted() && p.calledAt.After(after) && (next.IsZero() || p.returnedAt.Before(next)) {
+			next = p.returnedAt
 		}
 	}
 	return next
--- a/internal/scenario/accounts/tree.go
+++ b/internal/scenario/accounts/tree.go
@@ -120,19 +120,19 @@
 
 // proposeUntilAccepted proposes a change repeatedly until it is accepted, and fails after 10 s.
 func (s *scenario) proposeUntilAccepted(ctx context.Context, k key, ops ...account.Op) error {
-	var o *proposal
+	var p *proposal
 	for begun := time.Now(); time.Since(begun) < 10*time.Second; {
 		agent := s.Names[len(ops)%len(s.Names)]
 		base, _ := s.watcher.tree(agent)
-		if o = s.propose(k, agent, changeOn(base, ops...), "found", ""); o.isAccepted() {
-			s.watcher.waitForIndex(ctx, agent, o.outcome.Index)
+		if p = s.propose(k, agent, changeOn(base, ops...), "found", ""); p.isAccepted() {
+			s.watcher.waitForIndex(ctx, agent, p.outcome.Index)
 			return nil
 		}
 		if !fake.Sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("create %q: not accepted within 10 s: %+v %s", ops[0].Path, o.outcome, o.failure)
+	return fmt.Errorf("create %q: not accepted within 10 s: %+v %s", ops[0].Path, p.outcome, p.failure)
 }
 
 // writers returns a writer for each team and for each account's administrator.
--- a/internal/scenario/accounts/watcher.go
+++ b/internal/scenario/accounts/watcher.go
@@ -93,8 +93,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastTrees[name] = state
-	isKnown := slices.ContainsFunc(w.trees[state.Index], func(o *treeSample) bool {
-		return o.checksum == tree.checksum
+	isKnown := slices.ContainsFunc(w.trees[state.Index], func(other *treeSample) bool {
+		return other.checksum == tree.checksum
 	})
 	if !isKnown {
 		w.trees[state.Index] = append(w.trees[state.Index], tree)
--- a/internal/scenario/accounts/writer.go
+++ b/internal/scenario/accounts/writer.go
@@ -35,7 +35,7 @@
 	accepted []logentry.Entry // the latest of its own entries, at most maxAccepted
 }
 
-// action is an action of a writer, with its relative frequency.
+// action is a kind of proposal that a writer makes, with its relative frequency.
 type action struct {
 	name    string
 	weight  int
@@ -66,18 +66,18 @@
 func (w *writer) run(ctx context.Context) {
 	var applicable []action
 	totalWeight := 0
-	for _, m := range actions {
-		if m.applies == nil || m.applies(w) {
-			applicable = append(applicable, m)
-			totalWeight += m.weight
+	for _, a := range actions {
+		if a.applies == nil || a.applies(w) {
+			applicable = append(applicable, a)
+			totalWeight += a.weight
 		}
 	}
 	for fake.Sleep(ctx, time.Duration(w.rng.ExpFloat64()*float64(meanActionPause))) {
 		n := w.rng.IntN(totalWeight)
-		for _, m := range applicable {
-			if n -= m.weight; n < 0 {
-				w.scenario.AddMetric("moves_"+m.name, 1)
-				m.run(w, ctx)
+		for _, a := range applicable {
+			if n -= a.weight; n < 0 {
+				w.scenario.AddMetric("moves_"+a.name, 1)
+				a.run(w, ctx)
 				break
 			}
 		}
@@ -96,11 +96,11 @@
 // propose signs a change based on an observed tree and proposes it to a random agent. An accepted entry
 // that breaks no rule is kept for replays.
 func (w *writer) propose(k key, base account.State, label, brokenRule string, ops ...account.Op) *proposal {
-	o := w.scenario.propose(k, w.agent(), changeOn(base, ops...), label, brokenRule)
-	if o.isAccepted() && brokenRule == "" {
-		w.accepted = append(w.accepted[max(0, len(w.accepted)-maxAccepted+1):], o.entry)
+	p := w.scenario.propose(k, w.agent(), changeOn(base, ops...), label, brokenRule)
+	if p.isAccepted() && brokenRule == "" {
+		w.accepted = append(w.accepted[max(0, len(w.accepted)-maxAccepted+1):], p.entry)
 	}
-	return o
+	return p
 }
 
 // signedChange is a change with the key that is to sign it.
--- a/internal/scenario/accounts/writer_grants.go
+++ b/internal/scenario/accounts/writer_grants.go
@@ -26,7 +26,8 @@
 	if !isRevoked {
 		return
 	}
-	w.scenario.history.addRevokedChain(grantChain{[]string{first.name(), second.name()}, revoked.outcome.Index})
+	w.scenario.history.addRevokedChain(
+		grantChain{[]string{first.name(), second.name()}, revoked.outcome.Index})
 	w.scenario.propose(second, w.agent(), changeOn(base, w.putRouteOp(w.path, "line")), "use-revoked", "")
 	w.scenario.propose(first, w.agent(), changeOn(base, secondGrant), "grant-revoked", "")
 }
@@ -44,9 +45,9 @@
 
 // waitForTree waits until a random agent has applied a proposal, and returns that agent's tree. ok is
 // false if the proposal was not accepted, or did not reach the agent in time.
-func (w *writer) waitForTree(ctx context.Context, o *proposal) (tree account.State, ok bool) {
+func (w *writer) waitForTree(ctx context.Context, p *proposal) (tree account.State, ok bool) {
 	agent := w.agent()
-	ok = o.isAccepted() && w.scenario.watcher.waitForIndex(ctx, agent, o.outcome.Index)
+	ok = p.isAccepted() && w.scenario.watcher.waitForIndex(ctx, agent, p.outcome.Index)
 	tree, _ = w.scenario.watcher.tree(agent)
 	return tree, ok
 }
