--- a/internal/scenario/demo/demo.go
+++ b/internal/scenario/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows a node at work on a terminal: clients come one after another, and one of
-// four fake servers drains half way. It checks nothing.
+// Package demo shows a running node on a terminal: clients connect one after another, and one of four
+// fake servers drains halfway through. It has no checks of its own.
 package demo
 
 import (
@@ -18,19 +18,19 @@
 const (
 	serverCount    = 4
 	clientCount    = 60
-	clientInterval = 50 * time.Millisecond // between the first lines of one client and the next
+	clientInterval = 50 * time.Millisecond // between the starts of two clients
 	nodeName       = "n0"
-	drainingServer = 3 // its index
+	drainingServer = 3 // index of the server that drains
 )
 
-// Options size the demo.
+// Options configure the demo.
 type Options struct {
-	Binary  string // the node's
+	Binary  string // path of the node's binary
 	Seconds int
 	Out     io.Writer
 }
 
-// demo is one run.
+// demo is a run of the demo.
 type demo struct {
 	Options
 	observer  testbed.CountingObserver
@@ -39,8 +39,8 @@
 	node      *testbed.Node
 }
 
-// Run shows a node at work until the time is over, or until ctx ends. Its goroutines, one a
-// client, have ended when it returns.
+// Run runs the demo for Options.Seconds, or until ctx ends. It starts one goroutine per client; all
+// have ended when it returns.
 func Run(ctx context.Context, options Options) error {
 	dir, remove, err := testbed.TempDir()
 	if err != nil {
@@ -57,10 +57,10 @@
 		return err
 	}
 
-	running, stop := context.WithCancel(ctx)
+	clientCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	d.startClients(running, &wg)
-	d.show(ctx)
+	d.startClients(clientCtx, &wg)
+	d.showConnections(ctx)
 	stop()
 	wg.Wait()
 
@@ -70,7 +70,7 @@
 	return ctx.Err()
 }
 
-// start starts the servers and the node.
+// start starts the fake servers and the node.
 func (d *demo) start(ctx context.Context, dir string) error {
 	addr, err := d.discovery.Listen(nodeName)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return d.node.Start(ctx)
 }
 
-// close ends the node, then the servers and discovery.
+// close stops the node, then the servers and discovery.
 func (d *demo) close() {
 	if d.node != nil {
 		d.node.Kill()
@@ -114,7 +114,7 @@
 	d.discovery.Close()
 }
 
-// startClients has clients come one after another until ctx ends.
+// startClients starts clients at intervals of clientInterval; they run until ctx ends.
 func (d *demo) startClients(ctx context.Context, wg *sync.WaitGroup) {
 	for i := range clientCount {
 		client := &fake.Client{
@@ -134,14 +134,16 @@
 	}
 }
 
-// show prints each second how many connections each server has, and drains one half way.
-func (d *demo) show(ctx context.Context) {
+// showConnections prints the number of open connections of each server every second, and drains one
+// server halfway through.
+func (d *demo) showConnections(ctx context.Context) {
 	d.printf("One node, %d feed servers, %d clients. Each mark is a connection at that server.\n",
 		serverCount, clientCount)
 	for second := 1; second <= d.Seconds && fake.Sleep(ctx, time.Second); second++ {
 		if second == d.Seconds/2 {
 			server := d.servers[drainingServer]
-			d.printf("      %s drains: discovery says so, and the node moves its clients\n", server.Name)
+			d.printf("      %s drains: discovery lists it as leaving, and the node migrates its clients\n",
+				server.Name)
 			server.Drain(0)
 			d.discovery.Set(server.Name, fake.Leaving, time.Time{}, nil)
 		}
@@ -152,10 +154,11 @@
 		d.printf("\n")
 	}
 	d.printf("%g connections placed, %g busy answers, %g moved, node at %.1f MB\n",
-		d.observer.Metric("UP"), d.observer.Metric("BUSY"), d.observer.Metric("moved"), d.node.ResidentMemory()/1e6)
+		d.observer.Metric("UP"), d.observer.Metric("BUSY"), d.observer.Metric("moved"),
+		d.node.ResidentMemory()/1e6)
 }
 
-// printf writes to the terminal; an error there has nobody to go to.
+// printf writes to Options.Out. It ignores errors, because there is no other output to report them on.
 func (d *demo) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.Out, format, args...)
 }
