--- a/internal/scenario/accounts/proposals.go
+++ b/internal/scenario/accounts/proposals.go
@@ -14,31 +14,31 @@
 	"coralrelay/internal/fleet/logentry"
 )
 
-// proposalStatus is what is known of a proposal's end.
+// proposalStatus says whether the outcome of a proposal is known to its author.
 type proposalStatus int
 
 const (
-	outcomeUnknown proposalStatus = iota // it may have been accepted, or may yet be
-	outcomeKnown                         // outcome has it
-	notProposed                          // it is not part of the log
+	outcomeUnknown proposalStatus = iota // the answer was lost; the entry may be accepted, even later
+	outcomeKnown                         // the outcome is in proposal.outcome
+	notProposed                          // the entry did not reach the log
 )
 
-// proposal is an entry that was proposed, as its author saw it.
+// proposal is an entry that was proposed, with the outcome as its author observed it.
 type proposal struct {
 	entry                logentry.Entry
 	raw                  []byte // the entry as its agent forwards it
 	label                string
-	brokenRule           string // if it is accepted; empty if it may be
+	brokenRule           string // the rule that accepting it breaks; empty if it may be accepted
 	agent                string
 	calledAt, returnedAt time.Time
 	status               proposalStatus
 	outcome              logentry.Outcome
-	failure              string // why the outcome is not known
+	failure              string // the error, unless the outcome is known
 }
 
 func (p *proposal) isAccepted() bool { return p.status == outcomeKnown && p.outcome.Accepted }
 
-// metric returns the metric that counts proposals of this end.
+// metric returns the name of the metric that counts proposals with this status and outcome.
 func (p *proposal) metric() string {
 	switch {
 	case p.status == outcomeUnknown:
@@ -51,7 +51,7 @@
 	return "refused"
 }
 
-// history is all that was proposed.
+// history records all proposals, revoked chains of grants and races.
 type history struct {
 	mu            sync.Mutex
 	proposals     []*proposal
@@ -59,22 +59,23 @@
 	races         []race
 }
 
-// grantChain is a chain of grants that was revoked at an index: nothing by its keys is accepted later.
+// grantChain is a chain of grants that was revoked at a log index. No proposal that one of its keys
+// signed may be accepted at a later index.
 type grantChain struct {
 	keyNames  []string
 	revokedAt uint64
 }
 
-func (h *history) add(o *proposal) {
+func (h *history) add(p *proposal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.proposals = append(h.proposals, o)
+	h.proposals = append(h.proposals, p)
 }
 
-// race is two proposals that were made at the same moment.
+// race is a pair of proposals that were submitted concurrently.
 type race [2]*proposal
 
-// changeOn returns a change of a tree.
+// changeOn returns a change with the version of a tree as its base.
 func changeOn(base account.State, ops ...account.Op) account.Change {
 	return account.Change{BaseVersion: base.Version, Ops: ops}
 }
@@ -91,15 +92,16 @@
 	h.revokedChains = append(h.revokedChains, chain)
 }
 
-// propose signs a change and proposes it to an agent. brokenRule is the rule that is broken if it is
-// accepted, or empty.
+// propose signs a change and proposes it to an agent. brokenRule is the rule that accepting the change
+// breaks, or empty if it may be accepted.
 func (s *scenario) propose(k key, agent string, c account.Change, label, brokenRule string) *proposal {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return &proposal{status: notProposed, failure: err.Error()}
 	}
 	entry := logentry.Entry{
-		Kind: logentry.KindAccounts, ProposedAt: time.Now().UnixMilli(), Reason: label, KeyName: k.name(), Body: body,
+		Kind: logentry.KindAccounts, ProposedAt: time.Now().UnixMilli(), Reason: label,
+		KeyName: k.name(), Body: body,
 	}
 	entry.Signature = ed25519.Sign(ed25519.PrivateKey(k), entry.SignedBytes())
 	return s.submit(entry, agent, label, brokenRule)
@@ -112,28 +114,28 @@
 	if err != nil {
 		return &proposal{status: notProposed, failure: err.Error()}
 	}
-	o := &proposal{entry: entry, raw: raw, label: label, brokenRule: brokenRule, agent: agent}
-	s.proposalSlots[agent] <- struct{}{} // the agent limits its calls, and the watcher needs one
-	o.calledAt = time.Now()
+	p := &proposal{entry: entry, raw: raw, label: label, brokenRule: brokenRule, agent: agent}
+	s.proposalSlots[agent] <- struct{}{} // the agent limits concurrent calls, and the watcher needs one
+	p.calledAt = time.Now()
 	var answer struct {
 		Outcome logentry.Outcome `json:"outcome"`
 	}
 	err = s.Agents[agent].Call(agentapi.OperatorRequest{Method: "propose", Entry: raw}, &answer)
-	o.returnedAt = time.Now()
+	p.returnedAt = time.Now()
 	<-s.proposalSlots[agent]
 	var callError *agentapi.CallError
 	var networkError *net.OpError
 	switch {
 	case err == nil:
-		o.status, o.outcome = outcomeKnown, answer.Outcome
+		p.status, p.outcome = outcomeKnown, answer.Outcome
 	case errors.As(err, &callError) && !callError.OutcomeUnknown,
 		errors.As(err, &networkError) && networkError.Op == "dial":
-		o.status, o.failure = notProposed, err.Error()
+		p.status, p.failure = notProposed, err.Error()
 	default:
-		o.failure = err.Error()
+		p.failure = err.Error()
 	}
-	s.history.add(o)
-	return o
+	s.history.add(p)
+	return p
 }
 
 func (p *proposal) String() string {
--- a/internal/scenario/accounts/writer_grants.go
+++ b/internal/scenario/accounts/writer_grants.go
@@ -6,8 +6,8 @@
 	"coralrelay/internal/fleet/account"
 )
 
-// revokeChainInUse delegates a grant, has the grantee delegate it once more, and revokes it while it
-// is in use. Both grantees try to use it again once it is known to be revoked.
+// revokeChainInUse delegates a grant to a key, which delegates it to a second key, and revokes the first
+// grant while the second key uses its own. After the revocation, both keys propose a change again.
 func (w *writer) revokeChainInUse(ctx context.Context) {
 	first, err := newKey()
 	second, err2 := newKey()
@@ -26,12 +26,13 @@
 	if !isRevoked {
 		return
 	}
-	w.scenario.history.addRevokedChain(grantChain{[]string{first.name(), second.name()}, revoked.outcome.Index})
+	w.scenario.history.addRevokedChain(
+		grantChain{[]string{first.name(), second.name()}, revoked.outcome.Index})
 	w.scenario.propose(second, w.agent(), changeOn(base, w.putRouteOp(w.path, "line")), "use-revoked", "")
 	w.scenario.propose(first, w.agent(), changeOn(base, secondGrant), "grant-revoked", "")
 }
 
-// revoke revokes the first key's grant, while the second key uses its own if it has one.
+// revoke revokes the first key's grant. If the second key has a grant, it proposes a change concurrently.
 func (w *writer) revoke(base account.State, first, second key, hasSecondGrant bool) *proposal {
 	revoke := changeOn(base, account.Op{Kind: account.RevokeGrant, Path: w.path, Name: first.name()})
 	use := changeOn(base, w.putRouteOp(w.path, "line"))
@@ -42,11 +43,11 @@
 	return both[0]
 }
 
-// waitForTree returns the tree of a random agent as soon as it has an accepted proposal; ok is false
-// if the proposal was not accepted or did not arrive in time.
-func (w *writer) waitForTree(ctx context.Context, o *proposal) (tree account.State, ok bool) {
+// waitForTree waits until a random agent has applied a proposal, and returns that agent's tree. ok is
+// false if the proposal was not accepted, or did not reach the agent in time.
+func (w *writer) waitForTree(ctx context.Context, p *proposal) (tree account.State, ok bool) {
 	agent := w.agent()
-	ok = o.isAccepted() && w.scenario.watcher.waitForIndex(ctx, agent, o.outcome.Index)
+	ok = p.isAccepted() && w.scenario.watcher.waitForIndex(ctx, agent, p.outcome.Index)
 	tree, _ = w.scenario.watcher.tree(agent)
 	return tree, ok
 }
