--- a/internal/scenario/resume/faults.go
+++ b/internal/scenario/resume/faults.go
@@ -9,50 +9,51 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// faultKinds is how many numbers a round of faults has. Each stands for a kind of fault, as
-// startFault tells them apart; some kinds have several numbers and come more often.
-const faultKinds = 10
+// faultSlots is the number of slots in a round of faults. startFault maps each slot to a kind of
+// fault; a kind that has several slots is injected more often.
+const faultSlots = 10
 
-// injectFault starts one fault; in time it heals by itself. Some servers and nodes have to be
-// healthy at any time, or there is nowhere to move to: a fault that finds its target busy with
-// an earlier one goes back to the end of the round.
+// injectFault starts the next fault of the round, which ends by itself after a while. Some servers
+// and nodes must be healthy at any time, because clients could not migrate otherwise: a fault whose
+// target is still reserved by an earlier fault returns to the end of the round.
 func (r *run) injectFault(ctx context.Context, wg *sync.WaitGroup) error {
 	server := r.servers[r.rng.IntN(len(r.servers))]
 	node := r.nodes[r.rng.IntN(len(r.nodes))]
 	if len(r.pendingFaults) == 0 {
-		r.pendingFaults = r.rng.Perm(faultKinds) // all kinds come in a short run too
+		r.pendingFaults = r.rng.Perm(faultSlots) // a short run covers all kinds too
 	}
-	kind := r.pendingFaults[0]
+	slot := r.pendingFaults[0]
 	r.pendingFaults = r.pendingFaults[1:]
-	if !r.startFault(ctx, wg, kind, server, node) {
-		r.pendingFaults = append(r.pendingFaults, kind)
+	if !r.startFault(ctx, wg, slot, server, node) {
+		r.pendingFaults = append(r.pendingFaults, slot)
 	}
 	return ctx.Err()
 }
 
-// startFault starts a fault of a kind unless its targets are reserved; it reports whether it did.
-func (r *run) startFault(ctx context.Context, wg *sync.WaitGroup, kind int, server *fake.Server,
+// startFault starts the fault of a slot unless one of its targets is reserved, and reports whether
+// it did.
+func (r *run) startFault(ctx context.Context, wg *sync.WaitGroup, slot int, server *fake.Server,
 	node *testbed.Node) bool {
 	switch {
-	case kind < 4:
+	case slot < 4:
 		goodbyeAfter := time.Duration(0)
-		if kind%2 == 0 {
-			goodbyeAfter = 800 * time.Millisecond // the server sends its clients away itself
+		if slot%2 == 0 {
+			goodbyeAfter = 800 * time.Millisecond // the server itself tells its clients to leave
 		}
 		return r.startDrain(ctx, wg, server, goodbyeAfter)
-	case kind < 5:
+	case slot < 5:
 		return r.startOverload(ctx, wg, server)
-	case kind < 6:
+	case slot < 6:
 		return r.startServerCrash(ctx, wg, server)
-	case kind < 8:
+	case slot < 8:
 		return r.startNodeRestart(ctx, wg, node)
 	default:
 		return r.startNodeCrash(ctx, wg, server, node)
 	}
 }
 
-// reserve keeps other faults from a server, a node or a kind of fault for a while; it is false,
-// and reserves nothing, where an earlier fault has done so.
+// reserve excludes other faults from a server, a node or a kind of fault for the duration. It
+// returns false and reserves nothing if an earlier reservation still holds.
 func (r *run) reserve(name string, duration time.Duration) bool {
 	now := time.Now()
 	r.mu.Lock()
@@ -74,10 +75,10 @@
 	return true
 }
 
-// drainServer has a server drain, and come back later.
+// drainServer drains a server and returns it to service later.
 func (r *run) drainServer(ctx context.Context, server *fake.Server, goodbyeAfter time.Duration) {
 	r.discovery.Set(server.Name, fake.Leaving, time.Time{}, nil)
-	if r.Mutation != "drain" { // else it takes what it is wrongly sent, so that it is seen
+	if r.Mutation != "drain" { // otherwise it accepts the wrong first lines, so that they are detected
 		server.Drain(goodbyeAfter)
 	}
 	fake.Sleep(ctx, 2500*time.Millisecond)
@@ -118,7 +119,7 @@
 	return true
 }
 
-// startNodeCrash has a server drain, and kills a node while its clients come back.
+// startNodeCrash drains a server, and kills a node while the server's clients reconnect.
 func (r *run) startNodeCrash(ctx context.Context, wg *sync.WaitGroup, server *fake.Server,
 	node *testbed.Node) bool {
 	if !r.reserve("node", 3*time.Second) || !r.reserve(server.Name, 6*time.Second) {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// checkRestart notes that a node did not come back, unless the run was over.
+// checkRestart records a violation if a node failed to restart before the run ended.
 func (r *run) checkRestart(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		r.AddViolation("restart", err.Error())
--- a/internal/scenario/resume/freshness.go
+++ b/internal/scenario/resume/freshness.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// freshnessBound is how long after a change each client with a stream has to have it.
+	// freshnessBound is the time within which a change must reach each client that has a stream.
 	freshnessBound = 2 * time.Second
-	// freshnessInterval is the time from one comparison of all clients to the next.
+	// freshnessInterval is the time between two comparisons of all clients.
 	freshnessInterval = 200 * time.Millisecond
 )
 
-// watchFreshness compares what clients have with the feed of freshnessBound ago, until ctx ends.
+// watchFreshness compares the clients' versions with the feed as of freshnessBound ago, until ctx ends.
 func (r *run) watchFreshness(ctx context.Context) {
 	for fake.Sleep(ctx, freshnessInterval) {
 		for _, client := range r.clients {
-			before := time.Now().Add(-freshnessBound)
+			checkedAt := time.Now().Add(-freshnessBound)
 			versions, since := client.Versions()
-			if client.WithoutResumption || since.IsZero() || since.After(before) {
+			if client.WithoutResumption || since.IsZero() || since.After(checkedAt) {
 				continue
 			}
-			r.checkVersions(client, versions, before)
+			r.checkVersions(client, versions, checkedAt)
 		}
 	}
 }
 
-// checkVersions holds a client's versions to the feed as it was at a time.
+// checkVersions checks that a client's versions are no older than those of the feed at a time.
 func (r *run) checkVersions(client *fake.Client, versions map[int]uint64, at time.Time) {
 	r.AddMetric("comparisons", 1)
 	for listing, version := range r.feed.State(client.Group, r.feed.Head(client.Group, at)) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkFinalVersions holds every client to the latest version of everything.
+// checkFinalVersions checks that each client has the latest version of every listing of its group.
 func (r *run) checkFinalVersions() {
 	for _, client := range r.clients {
 		if client.WithoutResumption {
--- a/internal/scenario/resume/metrics.go
+++ b/internal/scenario/resume/metrics.go
@@ -6,22 +6,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// minMovesForAllFaults is the size of a run that has to see every kind of fault.
+// minMovesForAllFaults is the number of moves from which a run must include every kind of fault.
 const minMovesForAllFaults = 500
 
-// histograms keep times in microseconds, by whether the client presented a token.
+// histograms holds durations in microseconds, by whether the client presented a token.
 type histograms map[bool]*hdrhistogram.Histogram
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
 func newHistograms() histograms { return histograms{false: newHistogram(), true: newHistogram()} }
 
-// quantileMs returns a quantile, 0 to 100, of a histogram of microseconds in milliseconds.
+// quantileMs returns a percentile, 0 to 100, in milliseconds from a histogram in microseconds.
 func quantileMs(histogram *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// recordMetrics sets the metrics of the whole run, and requires that it provoked what it checks.
+// recordMetrics sets the metrics of the whole run, and requires that the checked events occurred.
 func (r *run) recordMetrics() {
 	r.SetMetric("gap ms p50", quantileMs(r.deliveryGaps, 50))
 	r.SetMetric("gap ms p99", quantileMs(r.deliveryGaps, 99))
--- a/internal/scenario/resume/observer.go
+++ b/internal/scenario/resume/observer.go
@@ -9,14 +9,15 @@
 	"coralrelay/internal/resumetoken"
 )
 
-// The fake servers and clients report to the run by these methods.
+// The fake servers and clients report their events to the run through these methods.
 
-// Opened holds first lines to the drain rule.
+// Opened checks a first line against the drain rule.
 func (r *run) Opened(line fake.Opened) {
 	r.CheckDrain(r.discovery, line.Node, line.Server, line.Key, line.At)
 }
 
-// Started checks that a token starts one stream at most, and that of the client it was given to.
+// Started checks that a token starts at most one stream, and only for the client that it was
+// issued to.
 func (r *run) Started(stream fake.Started) {
 	if stream.Resumed {
 		r.AddMetric("resumed", 1)
@@ -34,16 +35,16 @@
 	owner := r.ownerByNonce[stream.Nonce]
 	r.mu.Unlock()
 	if reused {
-		r.AddViolation("token-once", fmt.Sprintf("%s honoured at %s and at %s by %s",
+		r.AddViolation("token-once", fmt.Sprintf("token %s honoured at %s and again at %s by %s",
 			stream.Nonce, firstServer, stream.Server, stream.Node))
 	}
 	if owner != stream.Key {
-		r.AddViolation("token-owner", fmt.Sprintf("%s given to %q, honoured for %s at %s",
+		r.AddViolation("token-owner", fmt.Sprintf("token %s issued to %q, honoured for %s at %s",
 			stream.Nonce, owner, stream.Key, stream.Node))
 	}
 }
 
-// Answered counts final answers and keeps how long the good ones took.
+// Answered counts final answers, and records the time that each UP took.
 func (r *run) Answered(_, answer string, presented bool, took time.Duration) {
 	r.AddMetric("answers "+answer, 1)
 	if presented && answer == "UP" {
@@ -56,7 +57,7 @@
 	}
 }
 
-// Moved checks that the token can be opened, and keeps it for presentBadTokens.
+// Moved checks that the token can be opened, and stores it for presentBadTokens.
 func (r *run) Moved(key, group, token string) {
 	r.AddMetric("moves", 1)
 	if token == "" {
@@ -67,17 +68,17 @@
 	defer r.mu.Unlock()
 	opened, err := resumetoken.Open(r.keyRing, token)
 	if err != nil {
-		r.AddViolation("token", fmt.Sprintf("%s was given %q: %v", key, token, err))
+		r.AddViolation("token", fmt.Sprintf("%s was issued token %q that cannot be opened: %v", key, token, err))
 		return
 	}
 	if opened.Issuer != opened.Arbiter {
 		r.AddMetric("tokens with a peer as arbiter", 1)
 	}
 	r.ownerByNonce[hex.EncodeToString(opened.Nonce[:])] = key
-	r.keepToken(issuedToken{key, group, token, time.Now()})
+	r.storeToken(issuedToken{key, group, token, time.Now()})
 }
 
-// Streaming keeps how long the stream took to begin and the gap in delivery before it.
+// Streaming records the time until the stream began and the gap in delivery before it.
 func (r *run) Streaming(_ string, presented, resumed bool, wait, gap time.Duration) {
 	r.mu.Lock()
 	_ = r.streamStartTimes[presented].RecordValue(wait.Microseconds())
--- a/internal/scenario/resume/play.go
+++ b/internal/scenario/resume/play.go
@@ -13,51 +13,51 @@
 )
 
 const (
-	// changeInterval is the time from one change of the feed to the next: each listing of a
-	// group changes every few seconds, so that a change that was missed stays missed for long
-	// enough to see.
+	// changeInterval is the time between two changes of the feed. Each listing of a group then
+	// changes only every few seconds, so that a missed change remains visible long enough to be
+	// detected.
 	changeInterval = 10 * time.Millisecond
-	// arrivals is how long the clients take to come at first.
-	arrivals = 3 * time.Second
-	// faultInterval is the time from one fault to the next.
+	// arrivals is the period over which the clients first connect.
+	arrivalPeriod = 3 * time.Second
+	// faultInterval is the time between two faults.
 	faultInterval = time.Second
-	// timePerMove and extraTime bound how long the run may take to see its moves.
-	timePerMove = 250 * time.Millisecond
-	extraTime   = 30 * time.Second
-	// healing is how long all faults take to heal.
-	healing = 4 * time.Second
+	// timePerMove and extraRunTime bound the time that the run may take to reach its number of moves.
+	timePerMove  = 250 * time.Millisecond
+	extraRunTime = 30 * time.Second
+	// healing is the time within which all faults end.
+	maxFaultDuration = 4 * time.Second
 )
 
-// play runs the script until there were enough moves, then waits until faults have healed and
-// checks that each client has the latest of everything.
+// play runs the script until the number of moves is reached, waits until all faults have ended, and
+// then checks that each client has the latest versions.
 func (r *run) play(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	changing, stopChanges := context.WithCancel(ctx)
+	feedCtx, stopChanges := context.WithCancel(ctx)
 	defer stopChanges()
 	wg.Go(func() {
-		for fake.Sleep(changing, changeInterval) {
+		for fake.Sleep(feedCtx, changeInterval) {
 			r.feed.Step()
 		}
 	})
 	r.startClients(ctx, &wg)
 	wg.Go(func() { r.presentBadTokens(ctx) })
-	wg.Go(func() { r.watchFreshness(changing) })
+	wg.Go(func() { r.watchFreshness(feedCtx) })
 	wg.Go(func() { r.reportProgress(ctx) })
-	fake.Sleep(ctx, arrivals+time.Second)
+	fake.Sleep(ctx, arrivalPeriod+time.Second)
 	if err := r.moveClients(ctx, &wg); err != nil {
 		return err
 	}
-	fake.Sleep(ctx, healing)
+	fake.Sleep(ctx, maxFaultDuration)
 	stopChanges()
 	fake.Sleep(ctx, freshnessBound+testbed.SocketDelay)
 	r.checkFinalVersions()
 	return nil
 }
 
-// startClients has the clients come, one after another, and stay until ctx ends.
+// startClients connects the clients one after another; each runs until ctx ends.
 func (r *run) startClients(ctx context.Context, wg *sync.WaitGroup) {
 	for i := range r.Clients {
 		client := &fake.Client{
@@ -73,19 +73,19 @@
 		client.Seed(r.Options.Seed, uint64(i))
 		r.clients = append(r.clients, client)
 		wg.Go(func() {
-			fake.Sleep(ctx, time.Duration(i)*arrivals/time.Duration(r.Clients))
+			fake.Sleep(ctx, time.Duration(i)*arrivalPeriod/time.Duration(r.Clients))
 			client.Run(ctx)
 		})
 	}
 }
 
-// moveClients injects faults until there were enough moves; half way it rotates the key.
+// moveClients injects faults until the number of moves is reached, and rotates the key half way.
 func (r *run) moveClients(ctx context.Context, wg *sync.WaitGroup) error {
 	rotated := false
-	deadline := time.Now().Add(time.Duration(r.Moves)*timePerMove + extraTime)
+	deadline := time.Now().Add(time.Duration(r.Moves)*timePerMove + extraRunTime)
 	for r.Metric("moves") < float64(r.Moves) {
 		if time.Now().After(deadline) {
-			r.AddViolation("bound", fmt.Sprintf("%g of %d moves came about in time", r.Metric("moves"), r.Moves))
+			r.AddViolation("bound", fmt.Sprintf("%g of %d moves occurred before the deadline", r.Metric("moves"), r.Moves))
 			return nil
 		}
 		if !rotated && r.Metric("moves") > float64(r.Moves)/2 {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// rotateKey puts a second key in force while the nodes run.
+// rotateKey creates a second key and has the running nodes reload the key file.
 func (r *run) rotateKey() error {
 	if _, _, err := keyfile.Create(r.keyFile, time.Now().Add(time.Second)); err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return r.loadKeyRing()
 }
 
-// reportProgress shows the counts each second, if there is somebody to look, until ctx ends.
+// reportProgress writes the counts to Progress, if set, each second until ctx ends.
 func (r *run) reportProgress(ctx context.Context) {
 	if r.Progress == nil {
 		return
--- a/internal/scenario/resume/resume.go
+++ b/internal/scenario/resume/resume.go
@@ -1,8 +1,8 @@
 // Package resume plays the scenario of clients that migrate with resume tokens: servers drain,
 // are overloaded and crash, nodes restart and crash, and meanwhile listings change and tokens
-// are replayed, stolen and corrupted. It checks from the fakes' side that a token is honoured
-// once and for its owner alone, that no client misses a change, and that nothing new reaches a
-// server that drains.
+// are replayed, stolen and corrupted. It checks at the fake servers and clients that a token is
+// honoured at most once and only for its owner, that no client misses a change, and that no new
+// session reaches a draining server.
 //
 // Play owns all goroutines, processes and fake servers; its goroutines and nodes have ended when
 // it returns.
@@ -23,36 +23,36 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// Options size the scenario.
+// Options configures the scenario.
 type Options struct {
 	Seed             uint64
-	Moves            int // of clients, in all: the run ends after them
+	Moves            int // total number of client moves, after which the run ends
 	Nodes            int
 	Servers          int
 	Clients          int
-	Binary, Mutation string    // the node's binary; a key of Mutations or empty
+	Binary, Mutation string    // path of the node's binary; a key of Mutations, or empty
 	Progress         io.Writer // nil for none
 }
 
-// Mutations are the guards that the scenario can switch off. All but mutationEpoch are in the
-// node.
+// Mutations maps each guard that the scenario can disable to the resulting behaviour. All guards
+// except mutationEpoch are in the node.
 var Mutations = map[string]string{
 	"ledger":          "the node honours a token without asking its arbiter",
-	"ledger-volatile": "the arbiter grants without writing",
-	"position":        "the node mints a position one too far",
-	mutationEpoch:     "servers take a position of any numbering",
-	"binding":         "the node honours another client's token",
-	"drain":           "the node does not hear that a server drains",
+	"ledger-volatile": "the arbiter grants a token without writing to its ledger",
+	"position":        "the node issues tokens with a position that is one too high",
+	mutationEpoch:     "servers accept positions of any epoch",
+	"binding":         "the node honours a token that was issued to another client",
+	"drain":           "the node ignores that a server drains",
 }
 
-// mutationEpoch is a fault of the fake servers.
+// mutationEpoch is the mutation that applies to the fake servers instead of the node.
 const mutationEpoch = "epoch"
 
 // run is one run of the scenario.
 type run struct {
 	Options
 	*testbed.Result
-	rng           *rand.Rand // the script's; it is used by injectFault alone
+	rng           *rand.Rand // used only to inject faults
 	feed          *fake.Feed
 	discovery     *fake.Discovery
 	servers       []*fake.Server
@@ -60,20 +60,20 @@
 	clients       []*fake.Client
 	nodeNames     []string
 	keyFile       string
-	pendingFaults []int // the kinds of faults that come next
+	pendingFaults []int // the remaining slots of this round
 
 	mu               sync.Mutex
 	keyRing          *resumetoken.KeyRing
-	recentTokens     []issuedToken           // the latest, for presentBadTokens
-	ownerByNonce     map[string]string       // nonce in hexadecimal digits: the client that was given the token
-	honoredByNonce   map[string]string       // nonce likewise: the server and node that honoured it
+	recentTokens     []issuedToken           // oldest first, for presentBadTokens
+	ownerByNonce     map[string]string       // client that the token was issued to, by hexadecimal nonce
+	honoredByNonce   map[string]string       // server and node that honoured the token, by hexadecimal nonce
 	deliveryGaps     *hdrhistogram.Histogram // microseconds
-	setupTimes       histograms              // until the answer UP
-	streamStartTimes histograms              // from the answer UP to the stream's begin
-	nextFaultAt      map[string]time.Time    // by server, node or kind of fault: at the earliest
+	setupTimes       histograms              // from the first line to the answer UP
+	streamStartTimes histograms              // from the answer UP to the start of the stream
+	nextFaultAt      map[string]time.Time    // earliest time of the next fault, by server, node or kind of fault
 }
 
-// Play plays the scenario. The result holds what broke; an error says that it could not run.
+// Play runs the scenario. The result holds the violations; an error means that it could not run.
 func Play(ctx context.Context, options Options) (*testbed.Result, error) {
 	if err := testbed.CheckMutation(Mutations, options.Mutation); err != nil {
 		return nil, err
--- a/internal/scenario/resume/start.go
+++ b/internal/scenario/resume/start.go
@@ -13,7 +13,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// start makes the key file, starts the fake servers, and then the nodes.
+// start creates the key file, and starts the fake servers and then the nodes.
 func (r *run) start(ctx context.Context, dir string) error {
 	binary, mutation := r.Binary, ""
 	if r.Mutation != "" && r.Mutation != mutationEpoch {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// addNodes writes the files of all nodes, which guard one another's tokens against replay.
+// addNodes writes the files of all nodes, which are each other's peers in the replay guard.
 func (r *run) addNodes(dir, binary, mutation string) error {
 	peers := map[string]string{}
 	for i := range r.Nodes {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// startServers starts the fake servers: of each three one lags behind, and one keeps nearly no
-// history.
+// startServers starts the fake servers. Of each three, one lags behind the feed and one keeps
+// almost no history.
 func (r *run) startServers() error {
 	for i := range r.Servers {
 		options := fake.ServerOptions{
@@ -102,7 +102,7 @@
 		case 1:
 			options.Lag = 300 * time.Millisecond
 		case 2:
-			options.History = 2 // it has trimmed what most positions would need
+			options.History = 2 // too short to resume from most positions
 		}
 		server, _, err := testbed.StartWarmServer(r.discovery, options, r.nodeNames)
 		if err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// loadKeyRing reads the key file, which opens the tokens that clients are given.
+// loadKeyRing reads the key file; its keys open the tokens that clients receive.
 func (r *run) loadKeyRing() error {
 	ring, err := keyfile.Load(r.keyFile)
 	if err != nil {
--- a/internal/scenario/resume/tokens.go
+++ b/internal/scenario/resume/tokens.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// badTokenInterval is the time from one attempt with a bad token to the next.
+	// badTokenInterval is the time between two attempts with a bad token.
 	badTokenInterval = 80 * time.Millisecond
-	// replayAge is how old a token is before it is replayed: while its client may still be on
-	// its way, a replay would only take the token from it.
+	// replayAge is the minimum age of a token that is replayed. The client of a younger token may
+	// not have reconnected yet, and a replay would only use up its token.
 	replayAge = 3 * time.Second
-	// maxRecentTokens bounds the tokens that are kept to be presented again.
+	// maxRecentTokens bounds the number of stored tokens.
 	maxRecentTokens = 300
 )
 
-// issuedToken is a token that a client was given when it was told to move.
+// issuedToken is a token that a client received when it was told to move.
 type issuedToken struct {
 	key, group, token string
 	issuedAt          time.Time
 }
 
-// presentBadTokens replays tokens, and presents them as another client or corrupted, until ctx
-// ends. Its own attempts have ended when it returns.
+// presentBadTokens replays tokens, presents them as another client and presents corrupted ones,
+// until ctx ends. Its attempts have ended when it returns.
 func (r *run) presentBadTokens(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.Options.Seed, 99))
 	var wg sync.WaitGroup
@@ -46,7 +46,7 @@
 				continue
 			}
 			r.AddMetric("presented again", 1)
-		case kind == 2: // the latest, before its owner is back
+		case kind == 2: // the latest token, before its owner has reconnected
 			token = r.latestToken()
 			token.key, token.group = "thief", fmt.Sprintf("g%d", rng.IntN(4))
 			r.AddMetric("stolen", 1)
@@ -60,7 +60,7 @@
 	}
 }
 
-// pickToken draws one of the recent tokens; ok is false, and nothing drawn, if there are none.
+// pickToken draws one of the recent tokens. It draws nothing and ok is false if there are none.
 func (r *run) pickToken(rng *rand.Rand) (token issuedToken, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,32 +71,32 @@
 	return r.recentTokens[rng.IntN(count)], true
 }
 
-// latestToken returns the token that was issued last; there is one.
+// latestToken returns the token that was issued last. It requires that a token was issued.
 func (r *run) latestToken() issuedToken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recentTokens[len(r.recentTokens)-1]
 }
 
-// keepToken keeps a token to be presented again. The lock is held.
-func (r *run) keepToken(token issuedToken) {
+// storeToken stores a token for presentBadTokens. The caller holds the lock.
+func (r *run) storeToken(token issuedToken) {
 	r.recentTokens = append(r.recentTokens, token)
 	if len(r.recentTokens) > maxRecentTokens {
 		r.recentTokens = r.recentTokens[1:]
 	}
 }
 
-// corruptToken makes a token that no node issued.
+// corruptToken returns an altered copy of a token, which no node issued.
 func corruptToken(rng *rand.Rand, token string) string {
 	const digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 	corrupted := []byte(token)
 	switch rng.IntN(3) {
-	case 0: // a bit flipped
+	case 0: // one character replaced
 		at := rng.IntN(len(corrupted))
 		corrupted[at] = digits[(strings.IndexByte(digits, corrupted[at])+1+rng.IntN(62))%64]
-	case 1: // cut short
+	case 1: // truncated
 		corrupted = corrupted[:rng.IntN(len(corrupted))]
-	default: // of a future version
+	default: // with a future, unsupported version
 		corrupted[0], corrupted[1] = 'A', 'g'
 	}
 	return string(corrupted)
