--- a/internal/scenario/resume/observer.go
+++ b/internal/scenario/resume/observer.go
@@ -68,7 +68,7 @@
 	defer r.mu.Unlock()
 	opened, err := resumetoken.Open(r.keyRing, token)
 	if err != nil {
-		r.AddViolation("token", fmt.Sprintf("%s was issued token %q that cannot be opened: %v", key, token, err))
+		r.AddViolation("token", fmt.Sprintf("token issued to %s: cannot open %q: %v", key, token, err))
 		return
 	}
 	if opened.Issuer != opened.Arbiter {
--- a/internal/scenario/resume/play.go
+++ b/internal/scenario/resume/play.go
@@ -85,7 +85,7 @@
 	deadline := time.Now().Add(time.Duration(r.Moves)*timePerMove + extraRunTime)
 	for r.Metric("moves") < float64(r.Moves) {
 		if time.Now().After(deadline) {
-			r.AddViolation("bound", fmt.Sprintf("%g of %d moves occurred before the deadline", r.Metric("moves"), r.Moves))
+			r.AddViolation("bound", fmt.Sprintf("only %g of %d moves in time", r.Metric("moves"), r.Moves))
 			return nil
 		}
 		if !rotated && r.Metric("moves") > float64(r.Moves)/2 {
--- a/internal/scenario/resume/resume.go
+++ b/internal/scenario/resume/resume.go
@@ -70,7 +70,7 @@
 	deliveryGaps     *hdrhistogram.Histogram // microseconds
 	setupTimes       histograms              // from the first line to the answer UP
 	streamStartTimes histograms              // from the answer UP to the start of the stream
-	nextFaultAt      map[string]time.Time    // earliest time of the next fault, by server, node or kind of fault
+	nextFaultAt      map[string]time.Time    // earliest time, by server, node or kind of fault
 }
 
 // Play runs the scenario. The result holds the violations; an error means that it could not run.
--- a/internal/scenario/zones/checks.go
+++ b/internal/scenario/zones/checks.go
@@ -12,44 +12,45 @@
 )
 
 const (
-	// observationTime is how long after the bound it is observed: it shows who has not evacuated.
+	// observationTime is how long first lines are observed after the bound, to detect nodes that have
+	// not evacuated.
 	observationTime = 1200 * time.Millisecond
-	// decisionTimeout is how long after the bound the replicated log may take to decide what the
-	// nodes do by themselves: once they only probe a zone, evidence of it comes slowly.
+	// decisionTimeout is how long after the bound the replicated log may take to evacuate a zone that
+	// the nodes already avoid by themselves: once they only probe it, evidence arrives slowly.
 	decisionTimeout = 3 * time.Second
-	// maxSurvivorLoad is how full the remaining servers may be, counted in a second: full, and by
-	// chance a little more.
+	// maxSurvivorLoad is the maximum load of the remaining servers within one second, as a multiple
+	// of their capacity: the full capacity, and an allowance for random variation.
 	maxSurvivorLoad = 1.25
-	// minGoesOn is the share of the usual first lines that nodes without a fault send at least.
-	minGoesOn = 0.4
+	// minContinuedShare is the minimum share of the usual first lines that nodes without a fault must send.
+	minContinuedShare = 0.4
 )
 
-// violationf reports a broken rule.
+// violationf records a violation of a rule.
 func (s *scenario) violationf(rule, format string, args ...any) {
 	s.AddViolation(rule, fmt.Sprintf(format, args...))
 }
 
-// recordMax sets a metric to the greatest of its values, in ms.
-func (s *scenario) recordMax(metric string, d time.Duration) {
+// recordMaxMs raises a metric, in milliseconds, to d if d is greater than its value.
+func (s *scenario) recordMaxMs(metric string, d time.Duration) {
 	s.SetMetric(metric, max(s.Metric(metric), float64(d.Milliseconds())))
 }
 
-// evacuation is that nodes must evacuate a zone after a fault.
+// evacuation is the expectation that nodes evacuate a zone after a fault.
 type evacuation struct {
 	phase, zone string
 	nodes       []string
 	faultAt     time.Time
-	bound       time.Duration // after the fault
+	bound       time.Duration // maximum time from the fault to the evacuation
 }
 
-// checkEvacuated waits until the nodes must have evacuated the zone, and checks the bounds: none of
-// them sends it a first line later than the bound after the fault, and of those of one observing
-// zone, which follow the same log entry, the last evacuates no later than spreadBound after the
-// first. An observing zone that can't tell need not evacuate, as long as it sends nothing.
+// checkEvacuated waits until the nodes must have evacuated the zone, and checks the bounds. No node
+// sends the zone a first line later than the bound after the fault. The nodes of one observing zone
+// follow the same log entry, so the last of them evacuates no later than spreadBound after the
+// first. An observing zone without enough evidence need not evacuate, as long as it sends nothing.
 func (s *scenario) checkEvacuated(ctx context.Context, e evacuation) {
 	before := s.FirstLinesInto(e.zone, e.faultAt.Add(-time.Second), e.faultAt)
 	s.SetMetric(e.phase+"_asked_before", float64(len(before)))
-	s.RequireAtLeast(e.phase+"_asked_before", 5) // else there was nothing to evacuate
+	s.RequireAtLeast(e.phase+"_asked_before", 5) // otherwise there was nothing to evacuate
 	fake.Sleep(ctx, time.Until(e.deadline())+observationTime)
 	testbed.Await(ctx, time.Until(e.faultAt.Add(e.bound+decisionTimeout)), func() bool {
 		evacuatedAt := s.watcher.evacuatedAt(e.zone, e.faultAt)
@@ -61,17 +62,17 @@
 	evacuatedAt := s.watcher.evacuatedAt(e.zone, e.faultAt)
 	firstAt := s.firstByObservingZone(e, evacuatedAt)
 	if len(firstAt) == 0 {
-		s.violationf("leave", "%s: no node had evacuated %s %v after the fault",
+		s.violationf("leave", "%s: no node had evacuated zone %s %v after the fault",
 			e.phase, e.zone, time.Since(e.faultAt).Round(time.Millisecond))
 	}
 	s.checkSpread(e, evacuatedAt, firstAt)
 	s.checkLateFirstLines(e, firstAt)
 }
 
-// deadline is when no node may send the zone a first line any more.
+// deadline returns the time from which no node may send the zone a first line.
 func (e evacuation) deadline() time.Time { return e.faultAt.Add(e.bound + evacuationSlack) }
 
-// firstByObservingZone returns when the first node of each observing zone evacuated.
+// firstByObservingZone returns, by observing zone, the time at which its first node evacuated.
 func (s *scenario) firstByObservingZone(e evacuation, evacuatedAt map[string]time.Time) map[string]time.Time {
 	firstAt := map[string]time.Time{}
 	for name, at := range evacuatedAt {
@@ -83,110 +84,117 @@
 	return firstAt
 }
 
-// checkSpread checks that the nodes of one observing zone evacuate together.
+// checkSpread checks that the nodes of each observing zone evacuate within spreadBound.
 func (s *scenario) checkSpread(e evacuation, evacuatedAt, firstAt map[string]time.Time) {
-	stayed := 0.0
+	notEvacuated := 0.0
 	for _, name := range e.nodes {
 		at, ok := evacuatedAt[name]
 		if !ok {
-			stayed++
+			notEvacuated++
 			continue
 		}
-		s.recordMax(e.phase+"_left_ms", at.Sub(e.faultAt))
+		s.recordMaxMs(e.phase+"_left_ms", at.Sub(e.faultAt))
 		spread := at.Sub(firstAt[s.Zone(name)])
-		s.recordMax(e.phase+"_spread_ms", spread)
+		s.recordMaxMs(e.phase+"_spread_ms", spread)
 		if spread > spreadBound+2*pollInterval {
 			s.violationf("together", "%s: %s evacuated %s %v after the first of its zone, at most %v is allowed",
 				e.phase, name, e.zone, spread, spreadBound)
 		}
 	}
-	s.SetMetric(e.phase+"_not_left", max(s.Metric(e.phase+"_not_left"), stayed))
+	s.SetMetric(e.phase+"_not_left", max(s.Metric(e.phase+"_not_left"), notEvacuated))
 }
 
-// checkLateFirstLines checks that no node sends the zone a first line once it must not.
+// checkLateFirstLines checks that no node sends the zone a first line after the deadline, or later
+// than spreadBound after the first node of its own zone evacuated.
 func (s *scenario) checkLateFirstLines(e evacuation, firstAt map[string]time.Time) {
-	last := time.Duration(0)
-	for _, l := range s.FirstLinesInto(e.zone, e.faultAt, time.Now()) {
-		if !slices.Contains(e.nodes, l.Node) {
+	sinceFault := time.Duration(0)
+	for _, line := range s.FirstLinesInto(e.zone, e.faultAt, time.Now()) {
+		if !slices.Contains(e.nodes, line.Node) {
 			continue
 		}
-		last = l.At.Sub(e.faultAt)
-		begun := firstAt[s.Zone(l.Node)]
+		sinceFault = line.At.Sub(e.faultAt)
+		firstEvacuation := firstAt[s.Zone(line.Node)]
 		switch {
-		case l.At.After(e.deadline()):
-			s.violationf("leave", "%s: %s sent %s a first line %v after the fault", e.phase, l.Node, l.Server, last)
-		case !begun.IsZero() && l.At.Sub(begun) > spreadBound+inFlightSlack:
+		case line.At.After(e.deadline()):
+			s.violationf("leave", "%s: %s sent %s a first line %v after the fault",
+				e.phase, line.Node, line.Server, sinceFault)
+		case !firstEvacuation.IsZero() && line.At.Sub(firstEvacuation) > spreadBound+inFlightSlack:
 			s.violationf("together", "%s: %s sent %s a first line %v after the first of its zone had evacuated",
-				e.phase, l.Node, l.Server, l.At.Sub(begun))
+				e.phase, line.Node, line.Server, line.At.Sub(firstEvacuation))
 		}
 	}
-	s.recordMax(e.phase+"_last_line_ms", last)
+	s.recordMaxMs(e.phase+"_last_line_ms", sinceFault)
 }
 
-// checkNotEvacuated checks that the log evacuated none of some pairs of observing zone and zone.
-func (s *scenario) checkNotEvacuated(phase string, since time.Time, isPair func(p agentapi.ZoneStatus) bool) {
-	evacuated := s.watcher.statusChangesSince(since, func(p agentapi.ZoneStatus) bool {
-		return isPair(p) && isEvacuated(p.Status)
+// checkNotEvacuated checks that the log evacuated none of the matching pairs of observing zone and
+// zone.
+func (s *scenario) checkNotEvacuated(
+	phase string, since time.Time, isPair func(status agentapi.ZoneStatus) bool,
+) {
+	evacuated := s.watcher.statusChangesSince(since, func(status agentapi.ZoneStatus) bool {
+		return isPair(status) && isEvacuated(status.Status)
 	})
 	if len(evacuated) > 0 {
 		first := evacuated[0]
-		s.violationf("accuse", "%s: %s evacuated %s, which serves", phase, first.ObservingZone, first.Zone)
+		s.violationf("accuse", "%s: zone %s evacuated zone %s, which is healthy",
+			phase, first.ObservingZone, first.Zone)
 	}
 }
 
-// checkStillSends checks that some nodes send a zone as much as before, but for chance.
+// checkStillSends checks that the given nodes still send a zone at least minContinuedShare of their usual
+// traffic.
 func (s *scenario) checkStillSends(phase, zone string, nodes []string, from, until time.Time) {
 	sent := 0
-	for _, l := range s.FirstLinesInto(zone, from, until) {
-		if slices.Contains(nodes, l.Node) {
+	for _, line := range s.FirstLinesInto(zone, from, until) {
+		if slices.Contains(nodes, line.Node) {
 			sent++
 		}
 	}
 	usual := s.rate / float64(len(s.Names)) * float64(len(nodes)) / float64(len(s.Zones)) * until.Sub(from).Seconds()
 	s.SetMetric(phase+"_goes_on", float64(sent)/usual)
-	if float64(sent) < minGoesOn*usual {
-		s.violationf("viewpoint", "%s: the nodes that reach %s sent it %d first lines, about %.0f are usual",
+	if float64(sent) < minContinuedShare*usual {
+		s.violationf("viewpoint", "%s: nodes that reach zone %s sent it %d first lines, about %.0f are usual",
 			phase, zone, sent, usual)
 	}
 }
 
 // checkSurvivorLoad checks that the remaining servers are not overloaded while they are full: the
-// excess has to be rejected before it is sent.
+// nodes must reject the excess instead of sending it.
 func (s *scenario) checkSurvivorLoad(phase string, survivors []*testbed.Server, from, until time.Time) {
 	const window = time.Second
 	capacity := 0.0
-	for _, v := range survivors {
-		capacity += s.CapacityOf(v, until)
+	for _, server := range survivors {
+		capacity += s.CapacityOf(server, until)
 	}
 	var at []time.Time
-	for _, l := range s.FirstLines(from, until) {
-		if slices.ContainsFunc(survivors, func(v *testbed.Server) bool { return v.Name == l.Server }) {
-			at = append(at, l.At)
+	for _, line := range s.FirstLines(from, until) {
+		if slices.ContainsFunc(survivors, func(server *testbed.Server) bool { return server.Name == line.Server }) {
+			at = append(at, line.At)
 		}
 	}
-	most, first := 0.0, 0
+	peak, first := 0.0, 0
 	for i, t := range at {
 		for t.Sub(at[first]) > window {
 			first++
 		}
-		most = max(most, float64(i-first+1)/capacity/window.Seconds())
+		peak = max(peak, float64(i-first+1)/capacity/window.Seconds())
 	}
-	s.SetMetric(phase+"_survivors_most_of_budget", most)
-	if most > maxSurvivorLoad {
+	s.SetMetric(phase+"_survivors_most_of_budget", peak)
+	if peak > maxSurvivorLoad {
 		s.violationf("panic", "%s: the remaining servers were sent %.2f times their capacity within %v",
-			phase, most, window)
+			phase, peak, window)
 	}
 }
 
-// checkRecovers waits until the fleet sends everywhere again, all members alike.
+// checkRecovers waits until all members send to all zones again, and checks recoveryBound.
 func (s *scenario) checkRecovers(ctx context.Context, phase string) {
 	took, hasRecovered := testbed.Await(ctx, recoveryBound, func() bool { return s.watcher.hasRecovered(s.Names) })
 	if ctx.Err() != nil {
 		return
 	}
-	s.recordMax(phase+"_return_ms", took)
+	s.recordMaxMs(phase+"_return_ms", took)
 	if !hasRecovered {
-		s.violationf("return", "%s: not all nodes send everywhere again %v after the fault ended: %s",
+		s.violationf("return", "%s: not all nodes send to all zones %v after the fault ended: %s",
 			phase, took, s.watcher.describe())
 	}
 }
--- a/internal/scenario/zones/phases.go
+++ b/internal/scenario/zones/phases.go
@@ -11,8 +11,7 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// phases returns the phases in order. Each is checked for the share of the transactions that were
-// served.
+// phases returns the phases in order. After each phase, the share of served transactions is checked.
 func (s *scenario) phases() []testbed.Phase {
 	phases := []testbed.Phase{
 		{Name: "meet", Run: s.waitUntilReady},
@@ -39,13 +38,15 @@
 	return phases
 }
 
-// The shares of the transactions that must be served at least: in most phases, and in those where
-// capacity is lost.
+// defaultMinServedShare is the minimum share of transactions that must be served in a phase that
+// minServedShares does not list.
 const defaultMinServedShare = 0.85
 
+// minServedShares holds the minimum shares of the phases that begin before the fleet is ready or
+// that lose capacity.
 var minServedShares = map[string]float64{"meet": 0, "two": 0.25, "leader": 0.6}
 
-// minServedShare returns the share that must be served in a phase.
+// minServedShare returns the minimum share of transactions that must be served in a phase.
 func minServedShare(phase string) float64 {
 	if share, ok := minServedShares[phase]; ok {
 		return share
@@ -57,13 +58,14 @@
 	share, all := s.ServedShare(from, until)
 	s.SetMetric(phase+"_served", share)
 	s.SetMetric(phase+"_s", until.Sub(from).Seconds())
-	if least := minServedShare(phase); share < least {
-		s.violationf("served", "%s: %.3f of %d transactions were served, want %.2f at least", phase, share, all, least)
+	if minShare := minServedShare(phase); share < minShare {
+		s.violationf("served", "%s: %.3f of %d transactions were served, want at least %.2f",
+			phase, share, all, minShare)
 	}
 }
 
-// waitUntilReady lets members find each other and agree on a leader, and nodes learn the usual rate:
-// a node that has just started accepts more from second to second.
+// waitUntilReady waits until the members agree on a leader and the nodes have learned the usual rate:
+// a node that has just started raises its accepted rate every second.
 func (s *scenario) waitUntilReady(ctx context.Context, _ *mrand.Rand) error {
 	_, isReady := testbed.Await(ctx, 20*time.Second, func() bool {
 		now := time.Now()
@@ -71,22 +73,23 @@
 		return share > 0.97 && s.watcher.hasRecovered(s.Names)
 	})
 	if !isReady && ctx.Err() == nil {
-		return fmt.Errorf("members did not meet: %s", s.watcher.describe())
+		return fmt.Errorf("members not ready: %s", s.watcher.describe())
 	}
 	return nil
 }
 
-// nextZone returns the next zone in turn, except some: a zone that failed lately would be held back.
+// nextZone returns the next zone in turn that is not excluded. The zones take turns because a zone
+// that failed recently would be held back.
 func (s *scenario) nextZone(except ...string) string {
 	for {
-		zone := s.Zones[s.nextVictim%len(s.Zones)]
-		if s.nextVictim++; !slices.Contains(except, zone) {
+		zone := s.Zones[s.nextZoneIndex%len(s.Zones)]
+		if s.nextZoneIndex++; !slices.Contains(except, zone) {
 			return zone
 		}
 	}
 }
 
-// isEvacuated reports whether a zone of a status is sent nothing.
+// isEvacuated reports whether a zone with the status receives no traffic.
 func isEvacuated(status string) bool {
 	return slices.Contains([]string{
 		zonestatus.Evacuating.String(), zonestatus.Evacuated.String(), zonestatus.HeldBack.String(),
--- a/internal/scenario/zones/scenario.go
+++ b/internal/scenario/zones/scenario.go
@@ -1,8 +1,9 @@
-// Package zones is the scenario of zones that fail: real nodes and agents, fake servers, and faults
-// between them. The fleet must evacuate a failed zone and return to it as one.
+// Package zones implements the scenario of zone failures, with real nodes and agents, fake servers,
+// and faults between them. All members of the fleet must evacuate a failed zone together, and return
+// to it together.
 //
-// Play runs the phases one after another on its caller's goroutine. A watcher polls each agent on a
-// goroutine of its own, which ends when Play returns.
+// Play runs the phases one after another on the goroutine of its caller. A watcher polls each agent
+// on a separate goroutine, which ends when Play returns.
 package zones
 
 import (
@@ -16,30 +17,30 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// Options size the scenario.
+// Options configures the scenario.
 type Options struct {
 	Seed                          uint64
 	Nodes, Voters, Zones, Servers int
-	Rate                          float64  // transactions a second under usual load
+	Rate                          float64  // transactions per second under usual load
 	Steps                         []string // the phases to run, empty for all; the first always runs
-	Binary                        string   // the node's; the agent's is beside it
+	Binary                        string   // path of the node's binary; the agent's is in the same directory
 	Mutation                      string   // a key of Mutations, or empty
 	Progress                      io.Writer
 }
 
-// Mutations are the safeguards that the scenario can switch off, all in the agent, by what the agent
-// does without them.
+// Mutations maps each guard that the scenario can disable to the resulting behaviour. All guards are
+// in the agent.
 var Mutations = map[string]string{
-	"together":  "each node evacuates by itself, though it is in contact with the leader",
-	"panic":     "zones are evacuated however little capacity is left",
-	"return":    "a zone is returned to at once, without evidence or budget",
-	"accuse":    "the report of a zone that is itself cut off is believed",
+	"together":  "each node evacuates by itself even while it is in contact with the leader",
+	"panic":     "zones are evacuated regardless of the remaining capacity",
+	"return":    "traffic returns to a zone at once, without evidence or budget",
+	"accuse":    "the report of a zone that is itself isolated is accepted",
 	"hold":      "a zone that fails again is not held back",
-	"viewpoint": "what one zone observes holds for all",
-	"quorum":    "the report of one member is enough",
+	"viewpoint": "the observation of one zone applies to all zones",
+	"quorum":    "the report of a single member is sufficient",
 }
 
-// How the testbed differs from a real fleet: these figures are shorter.
+// Settings of the testbed, which are shorter than those of a real fleet.
 const (
 	slowStart    = 6 * time.Second
 	budgetWindow = 1500 * time.Millisecond
@@ -47,35 +48,35 @@
 	recoveryStep = 700 * time.Millisecond
 	holdTime     = 5 * time.Second
 	leaseTimeout = 2 * time.Second
-	clockSkew    = 200 * time.Millisecond // between members' clocks
+	clockSkew    = 200 * time.Millisecond // between the clocks of the members
 )
 
-// The bounds that docs/notes/zones.md derives, and the slack of the observation: a first line may be
+// The bounds derived in docs/notes/zones.md, and the slack of the observation: a first line may be
 // in flight while its node is notified, and agents are polled at an interval.
 const (
 	evacuationBound = 3 * time.Second
-	spreadBound     = 500 * time.Millisecond  // between the first node of a zone and the last
-	electionBound   = 2500 * time.Millisecond // for a new leader, where the last one is lost
-	isolatedBound   = 6 * time.Second         // the lease, and three times the usual timeout
+	spreadBound     = 500 * time.Millisecond  // between the first and the last node of a zone
+	electionBound   = 2500 * time.Millisecond // for the election of a new leader
+	isolatedBound   = 6 * time.Second         // the lease, and three times the usual timeout of an evacuation
 	evacuationSlack = 500 * time.Millisecond
 	inFlightSlack   = 150 * time.Millisecond
 	recoveryBound   = 20 * time.Second
 )
 
-// scenario is one run.
+// scenario is the state of one run.
 type scenario struct {
 	*testbed.Testbed
-	watcher    *watcher
-	rate       float64
-	nextVictim int // the index of the zone whose turn it is to fail
+	watcher       *watcher
+	rate          float64
+	nextZoneIndex int // index of the zone that fails next, before reduction modulo the number of zones
 }
 
-// Play runs the scenario: servers, links, nodes and agents of zones fail in many ways, and the fleet
-// must evacuate and return as one. An error means that the run could not be made; broken rules are
-// in the result.
+// Play runs the scenario: servers, links, nodes and agents of zones fail in many ways, and all members
+// must evacuate and return together. The result holds the violations; an error means that the
+// scenario could not run.
 func Play(ctx context.Context, o Options) (*testbed.Result, error) {
 	if _, ok := Mutations[o.Mutation]; o.Mutation != "" && !ok {
-		return nil, fmt.Errorf("no mutation %q", o.Mutation)
+		return nil, fmt.Errorf("unknown mutation %q", o.Mutation)
 	}
 	options := testbedOptions(o)
 	if o.Mutation != "" {
@@ -94,10 +95,10 @@
 	}
 	defer bed.Close()
 	s := &scenario{
-		Testbed:    bed,
-		watcher:    newWatcher(bed.Agents),
-		rate:       o.Rate,
-		nextVictim: int(o.Seed % uint64(o.Zones)),
+		Testbed:       bed,
+		watcher:       newWatcher(bed.Agents),
+		rate:          o.Rate,
+		nextZoneIndex: int(o.Seed % uint64(o.Zones)),
 	}
 	defer s.watcher.close()
 	s.ScaledDown = fmt.Sprintf("%d nodes in %d zones, all on one machine; a server is warm after %v, "+
@@ -106,7 +107,7 @@
 	return s.Result, s.Play(ctx, s.phases(), o.Steps)
 }
 
-// testbedOptions returns the scenario's testbed.
+// testbedOptions returns the options of the scenario's testbed.
 func testbedOptions(o Options) testbed.Options {
 	options := testbed.Options{
 		Scenario: "zones", Seed: o.Seed, Nodes: o.Nodes, Servers: o.Servers, Voters: o.Voters,
--- a/internal/scenario/zones/watcher.go
+++ b/internal/scenario/zones/watcher.go
@@ -14,36 +14,36 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// pollInterval is how often each agent is asked for its state.
+// pollInterval is the time between two polls of an agent's state.
 const pollInterval = 40 * time.Millisecond
 
-// watcher polls the state of all agents, and records when it changed.
+// watcher polls the state of all agents, and records its changes with their times.
 type watcher struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu            sync.Mutex
-	states        map[string]agentapi.State // by agent; without those that do not answer
+	states        map[string]agentapi.State // by agent, without agents that do not answer
 	limitChanges  []limitChange
 	statusChanges []statusChange
 	rejections    []rejectionChange
 	zonesVersion  uint64
 }
 
-// rejectionChange is that the replicated log has another share of the load rejected.
+// rejectionChange is a change of the share of the load that is rejected by the replicated log.
 type rejectionChange struct {
 	share float64
 	at    time.Time
 }
 
-// limitChange is that an agent's node has another share of a zone as its limit.
+// limitChange is a change of the share of a zone's traffic to which an agent limits its node.
 type limitChange struct {
 	agent, zone string
 	share       float64
 	at          time.Time
 }
 
-// statusChange is that the replicated log has another status of a zone.
+// statusChange is a change of a zone's status in the replicated log.
 type statusChange struct {
 	agentapi.ZoneStatus
 	at time.Time
@@ -67,13 +67,13 @@
 	return w
 }
 
-// close ends the polls.
+// close stops polling and waits for the goroutines to end.
 func (w *watcher) close() {
 	w.cancel()
 	w.wg.Wait()
 }
 
-// recordState records the state of an agent; ok is false if it did not answer.
+// recordState records the state of an agent. ok is false if the agent did not answer.
 func (w *watcher) recordState(name string, s agentapi.State, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,14 +93,14 @@
 	}
 	w.zonesVersion = s.ZonesVersion
 	w.rejections = append(w.rejections, rejectionChange{s.RejectedShare, now})
-	for _, p := range s.ZoneStatuses {
-		if last, ok := w.lastStatus(p.ObservingZone, p.Zone); !ok || last.ZoneStatus != p {
-			w.statusChanges = append(w.statusChanges, statusChange{p, now})
+	for _, status := range s.ZoneStatuses {
+		if last, ok := w.lastStatus(status.ObservingZone, status.Zone); !ok || last.ZoneStatus != status {
+			w.statusChanges = append(w.statusChanges, statusChange{status, now})
 		}
 	}
 }
 
-// lastStatus returns the latest status of a zone for an observing zone; the lock is held.
+// lastStatus returns the latest status of a zone for an observing zone. The caller holds the lock.
 func (w *watcher) lastStatus(observingZone, zone string) (last statusChange, ok bool) {
 	for _, change := range w.statusChanges {
 		if change.ObservingZone == observingZone && change.Zone == zone {
@@ -118,7 +118,7 @@
 	return shares
 }
 
-// shareOf returns the share of a zone: all of it if there is no limit.
+// shareOf returns the share of a zone, which is 1 if the zone has no limit.
 func shareOf(shares map[string]float64, zone string) float64 {
 	if share, ok := shares[zone]; ok {
 		return share
@@ -132,7 +132,7 @@
 	return all
 }
 
-// state returns the last state of an agent, and whether it answers.
+// state returns the latest state of an agent, or false if the agent did not answer the last poll.
 func (w *watcher) state(name string) (agentapi.State, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +140,7 @@
 	return s, ok
 }
 
-// leader returns the leader by the vote of the members within their lease; empty for none.
+// leader returns the leader that most members within their lease name, or empty if there is none.
 func (w *watcher) leader() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -155,7 +155,7 @@
 	return best
 }
 
-// hasRecovered reports whether all members follow the same log and send everywhere.
+// hasRecovered reports whether all members follow the same log and send to all zones.
 func (w *watcher) hasRecovered(names []string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,8 +168,8 @@
 		if s.Index != first.Index || s.Hash != first.Hash {
 			return false
 		}
-		for _, b := range s.ZoneLimits {
-			if b.Share < 1 {
+		for _, limit := range s.ZoneLimits {
+			if limit.Share < 1 {
 				return false
 			}
 		}
@@ -177,46 +177,46 @@
 	return true
 }
 
-// evacuatedAt returns by agent when its node's limit of a zone first became 0 after a time.
+// evacuatedAt returns, by agent, when its node's limit for a zone first became 0 after a time.
 func (w *watcher) evacuatedAt(zone string, since time.Time) map[string]time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := map[string]time.Time{}
-	for _, b := range w.limitChanges {
-		if _, ok := at[b.agent]; b.zone == zone && b.share == 0 && !ok && b.at.After(since) {
-			at[b.agent] = b.at
+	for _, limit := range w.limitChanges {
+		if _, ok := at[limit.agent]; limit.zone == zone && limit.share == 0 && !ok && limit.at.After(since) {
+			at[limit.agent] = limit.at
 		}
 	}
 	return at
 }
 
-// statusChangesSince returns the changes of status after a time that match.
+// statusChangesSince returns the matching status changes after a time.
 func (w *watcher) statusChangesSince(
-	since time.Time, matches func(p agentapi.ZoneStatus) bool,
+	since time.Time, matches func(status agentapi.ZoneStatus) bool,
 ) (list []statusChange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.statusChanges {
-		if p.at.After(since) && matches(p.ZoneStatus) {
-			list = append(list, p)
+	for _, status := range w.statusChanges {
+		if status.at.After(since) && matches(status.ZoneStatus) {
+			list = append(list, status)
 		}
 	}
 	return list
 }
 
-// maxRejectedShare returns the greatest share of the load that was rejected after a time.
-func (w *watcher) maxRejectedShare(since time.Time) (most float64) {
+// maxRejectedShare returns the maximum share of the load that was rejected after a time.
+func (w *watcher) maxRejectedShare(since time.Time) (highest float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, o := range w.rejections {
-		if o.at.After(since) {
-			most = max(most, o.share)
+	for _, rejection := range w.rejections {
+		if rejection.at.After(since) {
+			highest = max(highest, rejection.share)
 		}
 	}
-	return most
+	return highest
 }
 
-// describe returns the last states of all agents, for people.
+// describe returns a readable summary of the latest states of all agents.
 func (w *watcher) describe() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
