--- a/internal/scenario/objectives/allocations.go
+++ b/internal/scenario/objectives/allocations.go
@@ -12,19 +12,19 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// watchInterval is the time from one look at the replicated log to the next.
+// watchInterval is the time between two reads of the replicated log's state.
 const watchInterval = 100 * time.Millisecond
 
-// steeringChange is a new allocation of a contract in the replicated log.
+// steeringChange is a change of a contract's allocation in the replicated log.
 type steeringChange struct {
 	slo.Allocation
-	movedShare float64            // of the contract's traffic, against the allocation before
-	leftByZone map[string]float64 // the shares that left each zone; negative for what came
+	movedShare float64            // share of the contract's traffic that moved since the previous allocation
+	leftByZone map[string]float64 // share that left each zone, negative for a share that moved in
 	at         time.Time
 }
 
-// watchAllocations notes each change of an allocation, at one agent after the other, until ctx
-// ends.
+// watchAllocations records each change of an allocation until ctx ends. It reads the state from one
+// agent after the other.
 func (r *run) watchAllocations(ctx context.Context) {
 	latest, version := map[string]slo.Allocation{}, uint64(0)
 	for i := 0; fake.Sleep(ctx, watchInterval); i++ {
@@ -32,19 +32,20 @@
 		agent := r.Agents[r.Names[i%len(r.Names)]]
 		err := agent.Call(agentapi.OperatorRequest{Method: "record"}, &state)
 		if err != nil || state.Contracts.AllocationVersion <= version {
-			continue // an agent that is behind, or has not met anybody
+			continue // the agent lags behind, or has no contact with the other members
 		}
 		version = state.Contracts.AllocationVersion
 		r.mu.Lock()
 		for _, allocation := range state.Contracts.Allocations {
-			r.noteAllocation(latest, allocation)
+			r.recordAllocation(latest, allocation)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// noteAllocation notes an allocation unless it is the latest of its contract. The lock is held.
-func (r *run) noteAllocation(latest map[string]slo.Allocation, allocation slo.Allocation) {
+// recordAllocation records an allocation unless it is already the latest of its contract. The caller
+// holds the lock.
+func (r *run) recordAllocation(latest map[string]slo.Allocation, allocation slo.Allocation) {
 	before, steered := latest[allocation.Contract]
 	if steered && before.SteeredAt == allocation.SteeredAt {
 		return
@@ -64,8 +65,8 @@
 	r.changes = append(r.changes, change)
 }
 
-// evenShares returns where a contract goes that was never steered: evenly to the servers that it
-// may use.
+// evenShares returns the shares of a contract that was never steered, by zone: its traffic is spread
+// evenly over the servers that it may use.
 func (r *run) evenShares(t tenant) map[string]float64 {
 	shares, all := map[string]float64{}, 0.0
 	for _, server := range r.AllServers() {
@@ -80,7 +81,7 @@
 	return shares
 }
 
-// changesBetween returns the changes of allocations between two times.
+// changesBetween returns the changes of allocations that were seen between two times.
 func (r *run) changesBetween(from, until time.Time) (list []steeringChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,17 +93,17 @@
 	return list
 }
 
-// unmetReason returns what the replicated log said last of a contract that can't be met.
+// unmetReason returns the latest reason in the replicated log why a contract cannot be met.
 func (r *run) unmetReason(contract string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unmetReasons[contract]
 }
 
-// peakAllocatedLoad returns the greatest part of what a zone can do that allocations between two
-// times gave it, by what tenants ask for.
+// peakAllocatedLoad returns the maximum load, as a multiple of a zone's capacity, that the allocations
+// between two times assigned to the zone, given the tenants' shares of the traffic.
 func (r *run) peakAllocatedLoad(zone string, from, until time.Time) (peak float64) {
-	load := map[string]float64{} // by contract, of all transactions
+	load := map[string]float64{} // share of all transactions, by contract
 	for _, t := range r.tenants() {
 		load[t.Name] = t.trafficShare * r.evenShares(t)[zone]
 	}
--- a/internal/scenario/objectives/clients.go
+++ b/internal/scenario/objectives/clients.go
@@ -13,19 +13,19 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// sessionDuration is how long a client stays that was served: so long that one is little of a
-// server's load.
+// sessionDuration is the duration of a session that was served. It is long enough that one session
+// is a small part of a server's load.
 const sessionDuration = 2 * time.Second
 
-// clientReply is a final answer as a tenant's client saw it.
+// clientReply is a final answer that a tenant's client received.
 type clientReply struct {
 	tenant, reply string
 	startedAt     time.Time
 	took          time.Duration
 }
 
-// openSessions opens tenants' sessions at the rate until ctx ends.
-func (r *run) openSessions(ctx context.Context, all *sync.WaitGroup) {
+// openSessions opens the tenants' sessions at the scenario's rate until ctx ends.
+func (r *run) openSessions(ctx context.Context, wg *sync.WaitGroup) {
 	rng := mrand.New(mrand.NewPCG(r.Options.Seed, 21))
 	tenants := r.tenants()
 	next := time.Now()
@@ -33,11 +33,11 @@
 		next = next.Add(time.Duration(rng.ExpFloat64() / r.Testbed.Rate * float64(time.Second)))
 		tenant := drawTenant(rng, tenants)
 		node, addr := r.Testbed.Nodes.Pick(rng)
-		all.Go(func() { r.runClient(ctx, id, tenant.Name, node, addr) })
+		wg.Go(func() { r.runClient(ctx, id, tenant.Name, node, addr) })
 	}
 }
 
-// drawTenant draws one by their shares of the traffic.
+// drawTenant draws a tenant at random, weighted by the shares of the traffic.
 func drawTenant(rng *mrand.Rand, tenants []tenant) tenant {
 	index, rest := 0, rng.Float64()
 	for index < len(tenants)-1 && rest >= tenants[index].trafficShare {
@@ -47,7 +47,8 @@
 	return tenants[index]
 }
 
-// runClient is one client of a tenant: it has to get a final answer, and stays for a while.
+// runClient runs one client of a tenant. It must receive a final answer, and if it is served it holds
+// its session for sessionDuration.
 func (r *run) runClient(ctx context.Context, id int, tenant, node, addr string) {
 	line := fmt.Sprintf("OPEN %016x %s-%x c=feed,d=%d,realm=%s",
 		1<<40+id, tenant, id, testbed.Patience.Milliseconds(), tenant)
@@ -59,7 +60,8 @@
 	case ctx.Err() != nil || errors.Is(err, testbed.ErrUnreachable):
 		return
 	case err != nil:
-		r.AddViolation("answer", fmt.Sprintf("%s-%x at %s got no final answer: %v", tenant, id, node, err))
+		r.AddViolation("answer", fmt.Sprintf("%s-%x at node %s received no final answer: %v",
+			tenant, id, node, err))
 		return
 	}
 	r.mu.Lock()
@@ -71,9 +73,9 @@
 	}
 }
 
-// keptShare returns the share of a tenant's windows between two times in which its objective was
-// met, as its clients saw it, and how many windows there were. A window is a second here.
-func (r *run) keptShare(t tenant, from, until time.Time) (share float64, windows int) {
+// metShare returns the share of a tenant's windows between two times in which its objective was met
+// at its clients, and the number of windows. At timeScale, a window lasts one second.
+func (r *run) metShare(t tenant, from, until time.Time) (share float64, windows int) {
 	window := t.Window / timeScale
 	all, good := map[int64]float64{}, map[int64]float64{}
 	r.mu.Lock()
@@ -88,17 +90,17 @@
 		}
 	}
 	r.mu.Unlock()
-	kept := 0
+	met := 0
 	for index, count := range all {
 		if good[index] >= t.Quantile*count {
-			kept++
+			met++
 		}
 	}
-	return float64(kept) / max(float64(len(all)), 1), len(all)
+	return float64(met) / max(float64(len(all)), 1), len(all)
 }
 
-// shareIntoZone returns the share of a tenant's first lines between two times that went into a
-// zone, as its servers saw it, and how many the tenant had in all.
+// shareIntoZone returns the share of a tenant's first lines between two times that the servers of a
+// zone received, and the number of the tenant's first lines in all zones.
 func (r *run) shareIntoZone(tenant, zone string, from, until time.Time) (share float64, all int) {
 	count := 0
 	for _, line := range r.FirstLines(from, until) {
--- a/internal/scenario/objectives/contracts.go
+++ b/internal/scenario/objectives/contracts.go
@@ -13,38 +13,38 @@
 	"coralrelay/internal/fleet/slo"
 )
 
-// The tenants that checks name.
+// Tenants that the checks refer to.
 const (
-	gold   = "gold"   // the first priority
-	silver = "silver" // may use all zones, as bronze
-	bronze = "bronze"
-	thin   = "thin"  // has few transactions
-	dream  = "dream" // its objective is one that no region can meet
+	gold       = "gold"   // has the first priority
+	silver     = "silver" // may use all zones, like bronze
+	bronze     = "bronze"
+	lowVolume  = "thin"  // has few transactions
+	unmeetable = "dream" // has an objective that no region can meet
 )
 
 const (
 	accountName = "acme"
-	// latencyObjective is that of all contracts that can be met.
+	// latencyObjective is the objective of all contracts that can be met.
 	latencyObjective = 40 * time.Millisecond
-	// unmeetableObjective is that of dream.
+	// unmeetableObjective is the objective of the tenant dream, which no region can meet.
 	unmeetableObjective = 5 * time.Millisecond
 	contractQuantile    = 0.9
 	contractWindow      = 10 * time.Second
-	// clientOverhead is how much longer a client waits than its server takes: its node asks the
-	// upstream for its load first, and the client's own way comes on top.
+	// clientOverhead is the time that a client waits in addition to its server's response time: the
+	// node probes the upstream's load first, and the path from the client to the node adds latency.
 	clientOverhead = 10 * time.Millisecond
 )
 
-// tenant has a contract; its realm has the contract's name.
+// tenant is a tenant with a contract. Its realm has the contract's name.
 type tenant struct {
 	slo.Contract
-	trafficShare float64 // of all transactions
+	trafficShare float64 // share of all transactions
 }
 
-// boundAtClient is the objective as a client sees it.
+// boundAtClient returns the response time at the client that meets the objective.
 func (t *tenant) boundAtClient() time.Duration { return t.Objective + clientOverhead }
 
-// newTenant returns a tenant; its contract is for all zones if none are named.
+// newTenant returns a tenant. Its contract may use all zones if none are given.
 func newTenant(name string, priority int, trafficShare, target float64, objective time.Duration,
 	zones ...string) tenant {
 	return tenant{
@@ -62,25 +62,25 @@
 	}
 }
 
-// tenants returns all, of three priorities. The second may use two zones only.
+// tenants returns all tenants, which have three priorities. The tenant rigid may use two zones only.
 func (r *run) tenants() []tenant {
 	return []tenant{
 		newTenant(gold, 0, 0.22, 0.8, latencyObjective),
 		newTenant("rigid", 1, 0.38, 0.8, latencyObjective, r.firstSlowZone, r.smallZone),
 		newTenant(silver, 1, 0.13, 0.8, latencyObjective),
 		newTenant(bronze, 2, 0.17, 0.8, latencyObjective),
-		newTenant(thin, 2, 0.03, 0.9, latencyObjective),
-		newTenant(dream, 0, 0.07, 0.8, unmeetableObjective),
+		newTenant(lowVolume, 2, 0.03, 0.9, latencyObjective),
+		newTenant(unmeetable, 0, 0.07, 0.8, unmeetableObjective),
 	}
 }
 
-// tenant returns the one of a name; there is one.
+// tenant returns the tenant with the name, which must exist.
 func (r *run) tenant(name string) tenant {
 	all := r.tenants()
 	return all[slices.IndexFunc(all, func(t tenant) bool { return t.Name == name })]
 }
 
-// createContracts creates an account with a route for each tenant, and sets the contracts.
+// createContracts creates an account with a route for each tenant, and sets the tenants' contracts.
 func (r *run) createContracts() error {
 	unlimited := account.Limits{Connections: -1, SetupRate: -1, RetryRate: -1, ProbeRate: -1, Routes: -1, Teams: -1}
 	accounts := account.Change{Ops: []account.Op{
@@ -98,8 +98,8 @@
 	return r.proposeSigned(logentry.KindContracts, contracts)
 }
 
-// proposeSigned signs a change with the root key and proposes it to the first agent. It is an
-// error if the replicated log does not accept it.
+// proposeSigned signs a change with the root key and proposes it to the first agent. It returns an
+// error if the replicated log does not accept the change.
 func (r *run) proposeSigned(kind logentry.Kind, change any) error {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -122,7 +122,7 @@
 		return err
 	}
 	if !answer.Outcome.Accepted {
-		return fmt.Errorf("%s: not taken: %s", kind, answer.Outcome.Reason)
+		return fmt.Errorf("propose %s: not accepted: %s", kind, answer.Outcome.Reason)
 	}
 	return nil
 }
--- a/internal/scenario/objectives/latency.go
+++ b/internal/scenario/objectives/latency.go
@@ -8,21 +8,21 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// How long servers take to answer: by zone, and longer where a zone is nearly full.
+// Parameters of the servers' response times, which depend on the zone and increase with its load.
 const (
-	nearestDelay  = 10 * time.Millisecond // in the first zone
-	zoneDelayStep = 5 * time.Millisecond  // from one zone to the next
+	nearestDelay  = 10 * time.Millisecond // response time in the first zone
+	zoneDelayStep = 5 * time.Millisecond  // increase from one zone to the next
 	slowZoneDelay = 60 * time.Millisecond
 
-	overloadFrom     = 0.9 // of what a zone can do
+	overloadFrom     = 0.9 // share of a zone's capacity
 	overloadDelay    = 400 * time.Millisecond
 	maxOverloadDelay = 60 * time.Millisecond
 
-	loadInterval = 200 * time.Millisecond // from one look at zones' loads to the next
+	loadInterval = 200 * time.Millisecond // time between two measurements of the zones' loads
 	loadWindow   = time.Second
 )
 
-// setSlowZones makes some zones slow and all others as usual.
+// setSlowZones makes the given zones slow and resets all others to their usual delays.
 func (r *run) setSlowZones(slow ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// answerDelay returns how long a server takes now.
+// answerDelay returns the current response time of a server.
 func (r *run) answerDelay(server string) time.Duration {
 	zone := r.Zone(server)
 	r.mu.Lock()
@@ -43,7 +43,7 @@
 	return r.baseDelays[zone] + min(time.Duration(overload*float64(overloadDelay)), maxOverloadDelay)
 }
 
-// updateZoneLoads notes how full zones are, which slows their servers down, until ctx ends.
+// updateZoneLoads measures the load of each zone, which determines its servers' delay, until ctx ends.
 func (r *run) updateZoneLoads(ctx context.Context) {
 	tick := time.NewTicker(loadInterval)
 	defer tick.Stop()
@@ -62,14 +62,14 @@
 	}
 }
 
-// zoneLoad returns what a zone's servers were asked between two times, over what they can do
-// warm.
+// zoneLoad returns the rate of first lines that a zone's servers received between two times, as a
+// multiple of their warm capacity.
 func (r *run) zoneLoad(zone string, from, until time.Time) float64 {
 	capacity := float64(len(r.ServersIn(zone))) * r.Testbed.Rate / float64(r.Options.Servers) / testbed.UsualLoad
 	return float64(len(r.FirstLinesInto(zone, from, until))) / until.Sub(from).Seconds() / capacity
 }
 
-// peakLoad returns the greatest load of a zone in any two seconds between two times.
+// peakLoad returns the maximum load of a zone in any two seconds between two times.
 func (r *run) peakLoad(zone string, from, until time.Time) (peak float64) {
 	const window = 2 * time.Second
 	for at := from; !at.Add(window).After(until); at = at.Add(window / 4) {
--- a/internal/scenario/objectives/metrics.go
+++ b/internal/scenario/objectives/metrics.go
@@ -10,7 +10,8 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// metricName returns the name of a metric of this run beside those of other variants.
+// metricName returns the name of a metric of this run, prefixed with the variant unless this is the
+// run that is checked.
 func (r *run) metricName(name string) string {
 	if r.variant.name == "" {
 		return name
@@ -18,12 +19,13 @@
 	return r.variant.name + "_" + name
 }
 
-// keptPriority is the metric of the share of windows that tenants of a priority had kept.
-func keptPriority(priority int) string { return fmt.Sprint("kept_priority_", priority) }
+// metShareMetric returns the name of the metric that holds the share of windows in which the objectives
+// of a priority's tenants were met.
+func metShareMetric(priority int) string { return fmt.Sprint("kept_priority_", priority) }
 
-// playedTime returns the time from the first timed phase to the end of the last; ok is false if
-// none was played.
-func (r *run) playedTime() (played timeRange, ok bool) {
+// timeOfPhases returns the range from the start of the first timed phase to the end of the last. ok is
+// false if no timed phase was run.
+func (r *run) timeOfPhases() (played timeRange, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, phase := range r.phaseTimes {
@@ -40,12 +42,12 @@
 
 // recordMetrics sets the metrics of the whole run.
 func (r *run) recordMetrics() {
-	played, ok := r.playedTime()
+	played, ok := r.timeOfPhases()
 	if !ok {
 		return
 	}
 	from, until := played.from, played.until.Add(-testbed.Patience)
-	r.recordKept(from, until)
+	r.recordMetShares(from, until)
 	moved := 0.0
 	for _, change := range r.changesBetween(from, until) {
 		moved += change.movedShare
@@ -56,14 +58,14 @@
 	}
 }
 
-// recordKept sets the shares of windows kept, by tenant and by priority. The objective that
-// can't be met counts for no priority.
-func (r *run) recordKept(from, until time.Time) {
+// recordMetShares sets the shares of windows in which objectives were met, by tenant and by priority. The
+// tenant whose objective cannot be met counts for no priority.
+func (r *run) recordMetShares(from, until time.Time) {
 	byPriority := map[int][]float64{}
 	for _, t := range r.tenants() {
-		share, windows := r.keptShare(t, from, until)
+		share, windows := r.metShare(t, from, until)
 		r.SetMetric(r.metricName("kept_of_"+t.Name), share)
-		if t.Name != dream && windows > 0 {
+		if t.Name != unmeetable && windows > 0 {
 			byPriority[t.Priority] = append(byPriority[t.Priority], share)
 		}
 	}
@@ -72,12 +74,12 @@
 		for _, share := range shares {
 			sum += share
 		}
-		r.SetMetric(r.metricName(keptPriority(priority)), sum/float64(len(shares)))
+		r.SetMetric(r.metricName(metShareMetric(priority)), sum/float64(len(shares)))
 	}
 }
 
-// compareWith adds this run's metrics and violations to those of the run that is checked, which
-// has to keep more of the first two priorities.
+// compareWith adds this run's metrics and violations to those of the run that is checked. The checked
+// run must meet the objectives of the first two priorities in a greater share of windows.
 func (r *run) compareWith(checked *run) {
 	for _, name := range slices.Sorted(maps.Keys(r.Metrics)) {
 		if strings.HasPrefix(name, r.variant.name+"_") {
@@ -88,13 +90,14 @@
 		checked.AddViolation(r.variant.name+" "+violation.Rule, violation.Detail)
 	}
 	if len(checked.Steps) > 0 {
-		return // the runs are compared over the whole script
+		return // the comparison is only valid over all phases
 	}
 	for _, priority := range []int{0, 1} {
-		metric := keptPriority(priority)
-		if ours, theirs := checked.Metric(metric), r.Metric(r.metricName(metric)); ours <= theirs {
-			checked.AddViolation("better", fmt.Sprintf("priority %d: %.3f of windows were kept, %s %.3f",
-				priority, ours, r.variant.name, theirs))
+		metric := metShareMetric(priority)
+		if own, other := checked.Metric(metric), r.Metric(r.metricName(metric)); own <= other {
+			checked.AddViolation("better", fmt.Sprintf(
+				"priority %d: met in %.3f of windows, in variant %s in %.3f",
+				priority, own, r.variant.name, other))
 		}
 	}
 }
--- a/internal/scenario/objectives/objectives.go
+++ b/internal/scenario/objectives/objectives.go
@@ -1,8 +1,8 @@
-// Package objectives plays the scenario of service level objectives: contracts on response
-// times, some of which can't be met, are kept by steering tenants to regions that meet them,
-// while regions become slow, are small, fail and recover. It checks what the allocations in the
-// replicated log may do, and at the fake servers and clients what comes of them. On the command
-// line its name is promises.
+// Package objectives runs the scenario of service level objectives. Contracts set objectives for
+// response times, some of which cannot be met; the fleet steers tenants to regions that meet them,
+// while regions become slow, are small, fail and recover. The scenario checks the allocations in the
+// replicated log against their bounds, and their effects at the fake servers and clients. On the
+// command line its name is promises.
 //
 // Play owns all processes, fake servers and goroutines. All have ended when it returns.
 package objectives
@@ -18,33 +18,34 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// Options size the scenario.
+// Options configures the scenario.
 type Options struct {
 	Seed                          uint64
 	Nodes, Voters, Zones, Servers int
-	Rate                          float64   // transactions a second of all contracts
-	Steps                         []string  // names of phases, empty for all; the first is played in any case
-	SteeredOnly                   bool      // without the same run unsteered and greedy beside it
-	Binary, Mutation              string    // the node's binary, with the agent's beside it; a key of Mutations or empty
+	Rate                          float64   // transactions per second of all contracts
+	Steps                         []string  // phases to run, empty for all; the first always runs
+	SteeredOnly                   bool      // omits the unsteered and greedy variants
+	Binary, Mutation              string    // path of the node's binary; a key of Mutations, or empty
 	Progress                      io.Writer // nil for none
 }
 
-// Mutations are the guards that the scenario can switch off, all in the agent.
+// Mutations maps each guard that the scenario can disable to the resulting behaviour. All guards are
+// in the agent.
 var Mutations = map[string]string{
-	mutationGreedy:   "all there is goes to the best region at once",
-	"confidence":     "a few samples are a verdict",
-	"hysteresis":     "no patience, no margin, and no budget asked",
-	"explore":        "exploring has no bound",
-	"limits":         "objectives go before what a region can do",
-	"stale-evidence": "what was measured counts for ever",
+	mutationGreedy:   "all traffic moves to the best region at once",
+	"confidence":     "a few samples are enough for a verdict",
+	"hysteresis":     "moves require no breach interval, no margin and no error budget",
+	"explore":        "the share that explores is not bounded",
+	"limits":         "objectives take precedence over the capacity of regions",
+	"stale-evidence": "measurements never expire",
 }
 
-// mutationGreedy is also played beside the run that is checked, for comparison.
+// mutationGreedy is also run as a variant, for comparison with the run that is checked.
 const mutationGreedy = "greedy"
 
 const (
-	// timeScale is how many times faster the objectives' own time passes: a period is 3 s, a
-	// minute 6 s.
+	// timeScale is the speed-up of all times and windows of the objectives: a move interval lasts
+	// 3 s, a minute 6 s.
 	timeScale    = 10
 	rampTime     = 2 * time.Second
 	budgetWindow = 1500 * time.Millisecond
@@ -52,15 +53,15 @@
 	retryRatio   = 0.3
 )
 
-// variant is one of the runs that are played at once.
+// variant is one of the runs that are made concurrently.
 type variant struct {
 	name     string // empty for the run that is checked
-	agent    string // its binary, empty for the one beside the node's
+	agent    string // path of its binary, empty for the one in the directory of the node's
 	mutation string
 	steered  bool
 }
 
-// Play plays the scenario. The result holds what broke; an error says that it could not run.
+// Play runs the scenario. The result holds the violations; an error means that it could not run.
 func Play(ctx context.Context, options Options) (*testbed.Result, error) {
 	dir, remove, err := testbed.TempDir()
 	if err != nil {
@@ -72,11 +73,11 @@
 		return nil, err
 	}
 	played, errs := make([]*run, len(variants)), make([]error, len(variants))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, v := range variants {
-		all.Go(func() { played[i], errs[i] = playVariant(ctx, options, v) })
+		wg.Go(func() { played[i], errs[i] = playVariant(ctx, options, v) })
 	}
-	all.Wait()
+	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", strings.TrimSpace("promises "+variants[i].name), err)
@@ -86,13 +87,14 @@
 	for _, other := range played[1:] {
 		other.compareWith(checked)
 	}
-	checked.ScaledDown = fmt.Sprintf("%d nodes in %d zones, all on one machine; promises' time passes %d times faster",
+	checked.ScaledDown = fmt.Sprintf(
+		"%d nodes in %d zones, all on one machine; promises' time passes %d times faster",
 		options.Nodes, options.Zones, timeScale)
 	return checked.Result, nil
 }
 
-// newVariants returns what is to be played, the run that is checked first, and builds the agent
-// with mutations if one is needed.
+// newVariants returns the variants to run, starting with the one that is checked. It builds an agent
+// that supports mutations if a variant needs it.
 func newVariants(ctx context.Context, dir string, options Options) ([]variant, error) {
 	if options.Mutation == "" && options.SteeredOnly {
 		return []variant{{steered: true}}, nil
--- a/internal/scenario/objectives/phases.go
+++ b/internal/scenario/objectives/phases.go
@@ -13,42 +13,42 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// The names of the phases that checks tell apart; --steps takes them.
+// Names of the phases that the checks refer to. The flag --steps accepts them.
 const (
-	phaseSlow  = "slow"
-	phaseOther = "other"
-	phaseLeft  = "left"
+	phaseSlow       = "slow"
+	phaseSecondSlow = "other"
+	phaseFailed     = "left"
 )
 
 const (
-	// meetTimeout is how long members may take to agree on the replicated log.
-	meetTimeout = 30 * time.Second
-	// returnTimeout is how long a zone that has recovered may wait for its first client.
+	// readyTimeout is the time within which the members must agree on the replicated log.
+	readyTimeout = 30 * time.Second
+	// returnTimeout is the time within which a recovered zone must receive its first client.
 	returnTimeout = 20 * time.Second
-	// evacuationTime is how long after a zone has failed it is evacuated; contracts go elsewhere
-	// within a minute of their time.
+	// evacuationTime is the time after a zone's failure by which the zone is evacuated. Contracts
+	// move elsewhere within a scaled minute.
 	evacuationTime = 10 * time.Second
-	// smallestShare is less than any share that is worth an entry in the log.
-	smallestShare = 0.01
+	// minAllocatedShare is less than any share for which the controller writes an entry to the log.
+	minAllocatedShare = 0.01
 )
 
-// phases is the script. The first phase is played in any case; clients come from then on, until
-// ctx ends.
-func (r *run) phases(ctx context.Context, all *sync.WaitGroup) []testbed.Phase {
-	gather := func(context.Context, *mrand.Rand) error {
-		all.Go(func() { r.openSessions(ctx, all) })
-		return r.gather(ctx)
+// phases returns the phases in order. The first phase always runs, and starts the clients, which
+// connect until ctx ends.
+func (r *run) phases(ctx context.Context, wg *sync.WaitGroup) []testbed.Phase {
+	waitUntilReady := func(context.Context, *mrand.Rand) error {
+		wg.Go(func() { r.openSessions(ctx, wg) })
+		return r.waitUntilReady(ctx)
 	}
 	return []testbed.Phase{
-		{Name: "meet", Run: gather},
-		r.timedPhase("calm", r.briefSlowness),
+		{Name: "meet", Run: waitUntilReady},
+		r.timedPhase("calm", r.brieflySlowZone),
 		r.timedPhase(phaseSlow, r.slowZone),
-		r.timedPhase(phaseOther, r.anotherSlowZone),
-		r.timedPhase(phaseLeft, r.failedZone),
+		r.timedPhase(phaseSecondSlow, r.anotherSlowZone),
+		r.timedPhase(phaseFailed, r.failedZone),
 	}
 }
 
-// timedPhase returns a phase that notes when it was played.
+// timedPhase returns a phase that records the time range in which it ran.
 func (r *run) timedPhase(name string, play func(context.Context)) testbed.Phase {
 	return testbed.Phase{Name: name, Run: func(ctx context.Context, _ *mrand.Rand) error {
 		from := time.Now()
@@ -60,11 +60,11 @@
 	}}
 }
 
-// gather waits until members agree on the replicated log, creates the contracts, and lets nodes
-// learn what is usual.
-func (r *run) gather(ctx context.Context) error {
-	if _, met := testbed.Await(ctx, meetTimeout, r.membersAgree); !met && ctx.Err() == nil {
-		return errors.New("members did not meet")
+// waitUntilReady waits until the members agree on the replicated log, creates the contracts, and gives the
+// nodes time to learn the usual load.
+func (r *run) waitUntilReady(ctx context.Context) error {
+	if _, ready := testbed.Await(ctx, readyTimeout, r.membersAgree); !ready && ctx.Err() == nil {
+		return errors.New("members not ready: no agreement on the replicated log")
 	}
 	if err := r.createContracts(); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// membersAgree reports whether all agents hear the leader, and are at the same index of the log.
+// membersAgree reports whether all agents are in contact with a leader and at the same log index.
 func (r *run) membersAgree() bool {
 	index := uint64(0)
 	for i, name := range r.Names {
@@ -90,8 +90,8 @@
 	return true
 }
 
-// briefSlowness has all well but for one moment of slowness: nobody moves.
-func (r *run) briefSlowness(ctx context.Context) {
+// brieflySlowZone makes a zone slow for a moment only: no contract may move.
+func (r *run) brieflySlowZone(ctx context.Context) {
 	const maxMovedShare = 0.1
 	from := time.Now()
 	fake.Sleep(ctx, 5*time.Second)
@@ -101,43 +101,44 @@
 	fake.Sleep(ctx, 6*time.Second)
 	for _, change := range r.changesBetween(from, time.Now()) {
 		if change.movedShare > maxMovedShare {
-			r.reportViolation("calm", "%s moved %.3f of itself though all was well but for a moment: %v",
+			r.violationf("calm", "contract %s moved a share of %.3f after a brief slowness: %v",
 				change.Contract, change.movedShare, change.Shares)
 		}
 	}
 }
 
-// slowZone has a zone slow: the first priority leaves it, and the small zone is not overrun.
+// slowZone makes a zone slow: the first priority must leave it, and the small zone must not be
+// overloaded.
 func (r *run) slowZone(ctx context.Context) {
 	from := time.Now()
 	r.setSlowZones(r.firstSlowZone)
 	fake.Sleep(ctx, 21*time.Second)
 	r.checkSteering(phaseSlow, from, r.secondSlowZone)
-	r.checkKept(phaseSlow, r.tenant(gold))
-	if reason := r.unmetReason(dream); !strings.HasPrefix(reason, "bound: ") {
-		r.reportViolation("unkept", "dream can be kept nowhere, and the record says %q of it", reason)
+	r.checkObjectiveMet(phaseSlow, r.tenant(gold))
+	if reason := r.unmetReason(unmeetable); !strings.HasPrefix(reason, "bound: ") {
+		r.violationf("unkept", "no region can meet dream, but its reason in the replicated log is %q", reason)
 	}
-	share, count := r.shareIntoZone(dream, r.firstSlowZone, from, time.Now())
+	share, count := r.shareIntoZone(unmeetable, r.firstSlowZone, from, time.Now())
 	r.SetMetric(r.metricName("dream_served_by_slow"), share)
 	if count == 0 {
-		r.reportViolation("unkept", "dream was not served at all")
+		r.violationf("unkept", "dream was not served at all")
 	}
 }
 
-// anotherSlowZone has that zone well again and another slow: tenants go back, and who has left
-// the slow one explores it with little.
+// anotherSlowZone ends the first zone's slowness and makes another zone slow: tenants must return to
+// the recovered zone, and tenants that have left the slow zone may explore it with a small share.
 func (r *run) anotherSlowZone(ctx context.Context) {
 	from := time.Now()
 	r.setSlowZones(r.secondSlowZone)
 	fake.Sleep(ctx, 28*time.Second)
-	r.checkSteering(phaseOther, from, r.firstSlowZone)
-	r.checkKept(phaseOther, r.tenant(gold))
+	r.checkSteering(phaseSecondSlow, from, r.firstSlowZone)
+	r.checkObjectiveMet(phaseSecondSlow, r.tenant(gold))
 	r.checkReturned()
 	r.checkExploration()
 }
 
-// failedZone has the small zone fail: the fleet evacuates it, contracts leave it, and both
-// return once it has recovered.
+// failedZone makes the small zone fail: the fleet must evacuate it, contracts must leave it, and the
+// traffic must return once the zone has recovered.
 func (r *run) failedZone(ctx context.Context) {
 	r.setSlowZones()
 	fake.Sleep(ctx, 2*time.Second)
@@ -153,13 +154,13 @@
 		server.SetFault(fake.Healthy)
 	}
 	healthyAt := time.Now()
-	_, came := testbed.Await(ctx, returnTimeout, func() bool {
+	_, returned := testbed.Await(ctx, returnTimeout, func() bool {
 		return len(r.FirstLinesInto(r.smallZone, healthyAt, time.Now())) > 0
 	})
 	r.SetMetric(r.metricName("return_ms"), float64(time.Since(healthyAt).Milliseconds()))
-	if !came && ctx.Err() == nil {
-		r.reportViolation("return", "nobody went to the region that returned within %v", time.Since(healthyAt))
+	if !returned && ctx.Err() == nil {
+		r.violationf("return", "the recovered region received no client within %v", time.Since(healthyAt))
 	}
 	fake.Sleep(ctx, 4*time.Second)
-	r.checkLoads(phaseLeft, healthyAt)
+	r.checkLoads(phaseFailed, healthyAt)
 }
--- a/internal/scenario/objectives/run.go
+++ b/internal/scenario/objectives/run.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	// ownClientRate is the rate of the testbed's own clients, in multiples of the usual: they
-	// are under no contract.
-	ownClientRate = 0.02
-	// dropRatio is the part of the pieces between nodes and servers that is held up by a resend.
-	dropRatio = 0.004
-	// maxInflow and steeringPatience are fleet.promises.inflow and .patience.
-	maxInflow        = 0.15
-	steeringPatience = 45 * time.Second
+	// backgroundClientRate is the rate of the testbed's own clients, which have no contract, as a multiple
+	// of the usual rate.
+	backgroundClientRate = 0.02
+	// dropShare is the share of chunks between nodes and servers that is delayed as by a retransmission.
+	dropShare = 0.004
+	// maxInflowShare and minBreachInterval are the settings fleet.promises.inflow and
+	// fleet.promises.patience.
+	maxInflowShare    = 0.15
+	minBreachInterval = 45 * time.Second
 )
 
-// run is one run of the scenario.
+// run is the state of one run of the scenario.
 type run struct {
 	Options
 	*testbed.Testbed
 	variant variant
-	rootKey ed25519.PrivateKey // signs what operators propose
+	rootKey ed25519.PrivateKey // signs operators' proposals
 
-	firstSlowZone  string // slow in the phase "slow"
-	secondSlowZone string // slow in the phase "other"
+	firstSlowZone  string // slow in phaseSlow
+	secondSlowZone string // slow in phaseSecondSlow
 	smallZone      string // has one server
 
 	mu           sync.Mutex
-	baseDelays   map[string]time.Duration // by zone: until a server that is not full answers
-	zoneLoads    map[string]float64       // by zone: 1 is what it can do
+	baseDelays   map[string]time.Duration // by zone: response time of a server that is not overloaded
+	zoneLoads    map[string]float64       // by zone: load, which is 1 at full capacity
 	replies      []clientReply
 	changes      []steeringChange
 	phaseTimes   map[string]timeRange
 	unmetReasons map[string]string // by contract
 }
 
-// timeRange is the time between two.
+// timeRange is the range between two times.
 type timeRange struct{ from, until time.Time }
 
-// playVariant plays one run. All that it started has ended when it returns.
+// playVariant runs one variant. All goroutines and processes that it started have ended when it
+// returns.
 func playVariant(ctx context.Context, options Options, v variant) (*run, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -66,19 +68,19 @@
 	r.setUpZones()
 
 	ctx, cancel := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	all.Go(func() { r.updateZoneLoads(ctx) })
-	all.Go(func() { r.watchAllocations(ctx) })
-	err = bed.Play(ctx, r.phases(ctx, &all), options.Steps)
+	wg.Go(func() { r.updateZoneLoads(ctx) })
+	wg.Go(func() { r.watchAllocations(ctx) })
+	err = bed.Play(ctx, r.phases(ctx, &wg), options.Steps)
 	cancel()
-	all.Wait()
+	wg.Wait()
 	r.recordMetrics()
 	return r, err
 }
 
-// newBedOptions returns the options of a variant's testbed but for what its members' files say.
+// newBedOptions returns the options of a variant's testbed, without the members' configuration.
 func newBedOptions(options Options, v variant) testbed.Options {
 	bedOptions := testbed.Options{
 		Scenario:     "promises",
@@ -106,7 +108,7 @@
 	return bedOptions
 }
 
-// configure sets what a member's file says of zones and objectives.
+// configure sets a member's configuration of zone evacuation and of objectives.
 func configure(config *operatorconfig.File, options Options, zones []string, steered bool) {
 	evacuation := &config.Fleet.Zones
 	evacuation.Enabled = true
@@ -120,9 +122,9 @@
 	steering := &config.Fleet.SLO
 	steering.Enabled = steered
 	steering.TimeScale = timeScale
-	steering.MaxMoveFraction = maxStep
-	steering.MaxInflowFraction = maxInflow
-	steering.MinBreachInterval = duration(steeringPatience)
+	steering.MaxMoveFraction = maxMoveShare
+	steering.MaxInflowFraction = maxInflowShare
+	steering.MinBreachInterval = duration(minBreachInterval)
 }
 
 func duration(d time.Duration) operatorconfig.Duration { return operatorconfig.Duration{Duration: d} }
@@ -143,9 +145,9 @@
 	}
 }
 
-// setUpZones leaves one server in the small zone, and sets the delays of servers and links.
+// setUpZones reduces the small zone to one server, and sets the delays of servers and links.
 func (r *run) setUpZones() {
-	r.SetRate(ownClientRate)
+	r.SetRate(backgroundClientRate)
 	for _, server := range r.ServersIn(r.smallZone)[1:] {
 		r.Leave(server.Name)
 	}
@@ -155,5 +157,5 @@
 	for _, server := range r.AllServers() {
 		servers = append(servers, server.Name)
 	}
-	r.Proxy.SetOneWay(r.Names, servers, faultproxy.Fault{Delay: time.Millisecond, Drop: dropRatio})
+	r.Proxy.SetOneWay(r.Names, servers, faultproxy.Fault{Delay: time.Millisecond, Drop: dropShare})
 }
