--- a/internal/scenario/objectives/allocations.go
+++ b/internal/scenario/objectives/allocations.go
@@ -109,7 +109,8 @@
 	}
 	capacity := float64(len(r.ServersIn(zone))) / float64(r.Options.Servers) / testbed.UsualLoad
 	for _, change := range r.changesBetween(time.Time{}, until) {
-		load[change.Contract] = r.tenant(change.Contract).trafficShare * max(change.Shares[zone]-change.Overflow, 0)
+		load[change.Contract] = r.tenant(change.Contract).trafficShare *
+			max(change.Shares[zone]-change.Overflow, 0)
 		sum := 0.0
 		for _, part := range load {
 			sum += part
--- a/internal/scenario/objectives/checks.go
+++ b/internal/scenario/objectives/checks.go
@@ -7,7 +7,8 @@
 
 // Bounds that the checks apply.
 const (
-	// maxMoveShare is the setting fleet.promises.step, the maximum share of a contract that moves at once.
+	// maxMoveShare is the setting fleet.promises.step, the maximum share of a contract that moves
+	// at once.
 	maxMoveShare = 0.2
 	// maxZoneLoad is the maximum load of a zone in any two seconds, as a multiple of its capacity,
 	// with an allowance for random variation.
@@ -125,7 +126,7 @@
 		latest[change.Contract] = change.Shares[r.smallZone]
 	}
 	for contract, share := range latest {
-		if share > minAllocatedShare {
+		if share > negligibleShare {
 			r.violationf("left", "contract %s has a share of %.3f in an evacuated region", contract, share)
 		}
 	}
--- a/internal/scenario/objectives/clients.go
+++ b/internal/scenario/objectives/clients.go
@@ -47,8 +47,8 @@
 	return tenants[index]
 }
 
-// runClient runs one client of a tenant. It must receive a final answer, and if it is served it holds
-// its session for sessionDuration.
+// runClient runs one client of a tenant. The client must receive a final answer, and holds its
+// session for sessionDuration if it is served.
 func (r *run) runClient(ctx context.Context, id int, tenant, node, addr string) {
 	line := fmt.Sprintf("OPEN %016x %s-%x c=feed,d=%d,realm=%s",
 		1<<40+id, tenant, id, testbed.Patience.Milliseconds(), tenant)
--- a/internal/scenario/objectives/contracts.go
+++ b/internal/scenario/objectives/contracts.go
@@ -41,7 +41,7 @@
 	trafficShare float64 // share of all transactions
 }
 
-// boundAtClient returns the response time at the client that meets the objective.
+// boundAtClient returns the maximum response time at the client that meets the objective.
 func (t *tenant) boundAtClient() time.Duration { return t.Objective + clientOverhead }
 
 // newTenant returns a tenant. Its contract may use all zones if none are given.
@@ -82,14 +82,19 @@
 
 // createContracts creates an account with a route for each tenant, and sets the tenants' contracts.
 func (r *run) createContracts() error {
-	unlimited := account.Limits{Connections: -1, SetupRate: -1, RetryRate: -1, ProbeRate: -1, Routes: -1, Teams: -1}
+	unlimited := account.Limits{
+		Connections: -1, SetupRate: -1, RetryRate: -1, ProbeRate: -1, Routes: -1, Teams: -1,
+	}
 	accounts := account.Change{Ops: []account.Op{
 		{Kind: account.CreateAccount, Path: accountName, Node: &account.Node{Limits: unlimited}},
 	}}
 	var contracts slo.Change
 	for _, t := range r.tenants() {
-		route := &account.Route{Name: t.Name, Match: account.Match{Tenant: t.Name}, Limits: unlimited, Contract: t.Name}
-		accounts.Ops = append(accounts.Ops, account.Op{Kind: account.PutRoute, Path: accountName, Route: route})
+		route := &account.Route{
+			Name: t.Name, Match: account.Match{Tenant: t.Name}, Limits: unlimited, Contract: t.Name,
+		}
+		accounts.Ops = append(accounts.Ops,
+			account.Op{Kind: account.PutRoute, Path: accountName, Route: route})
 		contracts.Set = append(contracts.Set, t.Contract)
 	}
 	if err := r.proposeSigned(logentry.KindAccounts, accounts); err != nil {
@@ -118,7 +123,9 @@
 		return err
 	}
 	var answer struct{ Outcome logentry.Outcome }
-	if err := r.Agents[r.Names[0]].Call(agentapi.OperatorRequest{Method: "propose", Entry: raw}, &answer); err != nil {
+	if err := r.Agents[r.Names[0]].Call(
+		agentapi.OperatorRequest{Method: "propose", Entry: raw}, &answer,
+	); err != nil {
 		return err
 	}
 	if !answer.Outcome.Accepted {
--- a/internal/scenario/objectives/latency.go
+++ b/internal/scenario/objectives/latency.go
@@ -65,7 +65,8 @@
 // zoneLoad returns the rate of first lines that a zone's servers received between two times, as a
 // multiple of their warm capacity.
 func (r *run) zoneLoad(zone string, from, until time.Time) float64 {
-	capacity := float64(len(r.ServersIn(zone))) * r.Testbed.Rate / float64(r.Options.Servers) / testbed.UsualLoad
+	capacity := float64(len(r.ServersIn(zone))) * r.Testbed.Rate /
+		float64(r.Options.Servers) / testbed.UsualLoad
 	return float64(len(r.FirstLinesInto(zone, from, until))) / until.Sub(from).Seconds() / capacity
 }
 
--- a/internal/scenario/objectives/metrics.go
+++ b/internal/scenario/objectives/metrics.go
@@ -19,13 +19,13 @@
 	return r.variant.name + "_" + name
 }
 
-// metShareMetric returns the name of the metric that holds the share of windows in which the objectives
-// of a priority's tenants were met.
+// metShareMetric returns the name of the metric that holds the share of windows in which the
+// objectives of a priority's tenants were met.
 func metShareMetric(priority int) string { return fmt.Sprint("kept_priority_", priority) }
 
-// timeOfPhases returns the range from the start of the first timed phase to the end of the last. ok is
-// false if no timed phase was run.
-func (r *run) timeOfPhases() (played timeRange, ok bool) {
+// timedRange returns the range from the start of the first timed phase to the end of the last. ok
+// is false if no timed phase was run.
+func (r *run) timedRange() (played timeRange, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, phase := range r.phaseTimes {
@@ -42,7 +42,7 @@
 
 // recordMetrics sets the metrics of the whole run.
 func (r *run) recordMetrics() {
-	played, ok := r.timeOfPhases()
+	played, ok := r.timedRange()
 	if !ok {
 		return
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// recordMetShares sets the shares of windows in which objectives were met, by tenant and by priority. The
-// tenant whose objective cannot be met counts for no priority.
+// recordMetShares sets the shares of windows in which objectives were met, by tenant and by
+// priority. The tenant whose objective cannot be met counts for no priority.
 func (r *run) recordMetShares(from, until time.Time) {
 	byPriority := map[int][]float64{}
 	for _, t := range r.tenants() {
--- a/internal/scenario/objectives/objectives.go
+++ b/internal/scenario/objectives/objectives.go
@@ -72,10 +72,10 @@
 	if err != nil {
 		return nil, err
 	}
-	played, errs := make([]*run, len(variants)), make([]error, len(variants))
+	runs, errs := make([]*run, len(variants)), make([]error, len(variants))
 	var wg sync.WaitGroup
 	for i, v := range variants {
-		wg.Go(func() { played[i], errs[i] = playVariant(ctx, options, v) })
+		wg.Go(func() { runs[i], errs[i] = runVariant(ctx, options, v) })
 	}
 	wg.Wait()
 	for i, err := range errs {
@@ -83,8 +83,8 @@
 			return nil, fmt.Errorf("%s: %w", strings.TrimSpace("promises "+variants[i].name), err)
 		}
 	}
-	checked := played[0]
-	for _, other := range played[1:] {
+	checked := runs[0]
+	for _, other := range runs[1:] {
 		other.compareWith(checked)
 	}
 	checked.ScaledDown = fmt.Sprintf(
--- a/internal/scenario/objectives/phases.go
+++ b/internal/scenario/objectives/phases.go
@@ -28,8 +28,8 @@
 	// evacuationTime is the time after a zone's failure by which the zone is evacuated. Contracts
 	// move elsewhere within a scaled minute.
 	evacuationTime = 10 * time.Second
-	// minAllocatedShare is less than any share for which the controller writes an entry to the log.
-	minAllocatedShare = 0.01
+	// negligibleShare is less than any share for which the controller writes an entry to the log.
+	negligibleShare = 0.01
 )
 
 // phases returns the phases in order. The first phase always runs, and starts the clients, which
@@ -49,10 +49,10 @@
 }
 
 // timedPhase returns a phase that records the time range in which it ran.
-func (r *run) timedPhase(name string, play func(context.Context)) testbed.Phase {
+func (r *run) timedPhase(name string, script func(context.Context)) testbed.Phase {
 	return testbed.Phase{Name: name, Run: func(ctx context.Context, _ *mrand.Rand) error {
 		from := time.Now()
-		play(ctx)
+		script(ctx)
 		r.mu.Lock()
 		r.phaseTimes[name] = timeRange{from, time.Now()}
 		r.mu.Unlock()
@@ -60,8 +60,8 @@
 	}}
 }
 
-// waitUntilReady waits until the members agree on the replicated log, creates the contracts, and gives the
-// nodes time to learn the usual load.
+// waitUntilReady waits until the members agree on the replicated log, creates the contracts, and
+// gives the nodes time to learn the usual load.
 func (r *run) waitUntilReady(ctx context.Context) error {
 	if _, ready := testbed.Await(ctx, readyTimeout, r.membersAgree); !ready && ctx.Err() == nil {
 		return errors.New("members not ready: no agreement on the replicated log")
@@ -90,7 +90,7 @@
 	return true
 }
 
-// brieflySlowZone makes a zone slow for a moment only: no contract may move.
+// brieflySlowZone makes a zone slow for a moment: no contract may move more than maxMovedShare.
 func (r *run) brieflySlowZone(ctx context.Context) {
 	const maxMovedShare = 0.1
 	from := time.Now()
@@ -116,7 +116,8 @@
 	r.checkSteering(phaseSlow, from, r.secondSlowZone)
 	r.checkObjectiveMet(phaseSlow, r.tenant(gold))
 	if reason := r.unmetReason(unmeetable); !strings.HasPrefix(reason, "bound: ") {
-		r.violationf("unkept", "no region can meet dream, but its reason in the replicated log is %q", reason)
+		r.violationf("unkept", "no region can meet dream, but its reason in the replicated log is %q",
+			reason)
 	}
 	share, count := r.shareIntoZone(unmeetable, r.firstSlowZone, from, time.Now())
 	r.SetMetric(r.metricName("dream_served_by_slow"), share)
@@ -159,7 +160,8 @@
 	})
 	r.SetMetric(r.metricName("return_ms"), float64(time.Since(healthyAt).Milliseconds()))
 	if !returned && ctx.Err() == nil {
-		r.violationf("return", "the recovered region received no client within %v", time.Since(healthyAt))
+		r.violationf("return", "the recovered region received no client within %v",
+			time.Since(healthyAt))
 	}
 	fake.Sleep(ctx, 4*time.Second)
 	r.checkLoads(phaseFailed, healthyAt)
--- a/internal/scenario/objectives/run.go
+++ b/internal/scenario/objectives/run.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// backgroundClientRate is the rate of the testbed's own clients, which have no contract, as a multiple
-	// of the usual rate.
+	// backgroundClientRate is the rate of the testbed's own clients, which have no contract, as a
+	// multiple of the usual rate.
 	backgroundClientRate = 0.02
-	// dropShare is the share of chunks between nodes and servers that is delayed as by a retransmission.
+	// dropShare is the share of chunks between nodes and servers that is delayed as if retransmitted.
 	dropShare = 0.004
 	// maxInflowShare and minBreachInterval are the settings fleet.promises.inflow and
 	// fleet.promises.patience.
@@ -47,9 +47,9 @@
 // timeRange is the range between two times.
 type timeRange struct{ from, until time.Time }
 
-// playVariant runs one variant. All goroutines and processes that it started have ended when it
+// runVariant runs one variant. All goroutines and processes that it started have ended when it
 // returns.
-func playVariant(ctx context.Context, options Options, v variant) (*run, error) {
+func runVariant(ctx context.Context, options Options, v variant) (*run, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return nil, err
--- a/internal/scenario/resume/faults.go
+++ b/internal/scenario/resume/faults.go
@@ -78,7 +78,7 @@
 // drainServer drains a server and returns it to service later.
 func (r *run) drainServer(ctx context.Context, server *fake.Server, goodbyeAfter time.Duration) {
 	r.discovery.Set(server.Name, fake.Leaving, time.Time{}, nil)
-	if r.Mutation != "drain" { // otherwise it accepts the wrong first lines, so that they are detected
+	if r.Mutation != "drain" { // with it, misrouted first lines are accepted and detected
 		server.Drain(goodbyeAfter)
 	}
 	fake.Sleep(ctx, 2500*time.Millisecond)
--- a/internal/scenario/resume/metrics.go
+++ b/internal/scenario/resume/metrics.go
@@ -39,14 +39,18 @@
 		r.Metric("presentations served")
 	r.SetMetric("refused tokens", presentations-r.Metric("resumed"))
 
-	for _, metric := range []string{"drains", "presented again", "stolen", "spoiled", "snapshots", "resumed"} {
+	for _, metric := range []string{
+		"drains", "presented again", "stolen", "spoiled", "snapshots", "resumed",
+	} {
 		r.RequireAtLeast(metric, 1)
 	}
 	if r.Moves < minMovesForAllFaults {
 		return
 	}
-	for _, metric := range []string{"planned restarts", "nodes killed", "servers killed", "overloads", "key rotations",
-		"tokens with a peer as arbiter"} {
+	for _, metric := range []string{
+		"planned restarts", "nodes killed", "servers killed", "overloads", "key rotations",
+		"tokens with a peer as arbiter",
+	} {
 		r.RequireAtLeast(metric, 1)
 	}
 	r.RequireAtLeast("resumed", r.Metric("moves")/4)
--- a/internal/scenario/resume/play.go
+++ b/internal/scenario/resume/play.go
@@ -17,20 +17,20 @@
 	// changes only every few seconds, so that a missed change remains visible long enough to be
 	// detected.
 	changeInterval = 10 * time.Millisecond
-	// arrivals is the period over which the clients first connect.
+	// arrivalPeriod is the period over which the clients first connect.
 	arrivalPeriod = 3 * time.Second
 	// faultInterval is the time between two faults.
 	faultInterval = time.Second
 	// timePerMove and extraRunTime bound the time that the run may take to reach its number of moves.
 	timePerMove  = 250 * time.Millisecond
 	extraRunTime = 30 * time.Second
-	// healing is the time within which all faults end.
+	// maxFaultDuration is the time within which every fault ends.
 	maxFaultDuration = 4 * time.Second
 )
 
-// play runs the script until the number of moves is reached, waits until all faults have ended, and
+// runScript injects faults until the number of moves is reached, waits until all faults have ended, and
 // then checks that each client has the latest versions.
-func (r *run) play(ctx context.Context) error {
+func (r *run) runScript(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/internal/scenario/resume/resume.go
+++ b/internal/scenario/resume/resume.go
@@ -1,4 +1,4 @@
-// Package resume plays the scenario of clients that migrate with resume tokens: servers drain,
+// Package resume runs the scenario of clients that migrate with resume tokens: servers drain,
 // are overloaded and crash, nodes restart and crash, and meanwhile listings change and tokens
 // are replayed, stolen and corrupted. It checks at the fake servers and clients that a token is
 // honoured at most once and only for its owner, that no client misses a change, and that no new
@@ -89,7 +89,7 @@
 	}
 	defer r.discovery.Close()
 	defer r.nodes.KillAll()
-	if err := r.play(ctx); err != nil {
+	if err := r.runScript(ctx); err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
--- a/internal/scenario/resume/tokens.go
+++ b/internal/scenario/resume/tokens.go
@@ -39,7 +39,7 @@
 		if !ok {
 			continue
 		}
-		attempt := rand.New(rand.NewPCG(rng.Uint64(), 1))
+		attemptRNG := rand.New(rand.NewPCG(rng.Uint64(), 1))
 		switch kind := rng.IntN(4); {
 		case kind < 2:
 			if time.Since(token.issuedAt) < replayAge {
@@ -51,11 +51,12 @@
 			token.key, token.group = "thief", fmt.Sprintf("g%d", rng.IntN(4))
 			r.AddMetric("stolen", 1)
 		default:
-			token.token = corruptToken(attempt, token.token)
+			token.token = corruptToken(attemptRNG, token.token)
 			r.AddMetric("spoiled", 1)
 		}
 		wg.Go(func() {
-			fake.PresentToken(ctx, r.nodes, attempt, token.key, token.group, "feed", token.token, testbed.Patience)
+			fake.PresentToken(ctx, r.nodes, attemptRNG, token.key, token.group, "feed", token.token,
+				testbed.Patience)
 		})
 	}
 }
--- a/internal/scenario/zones/checks.go
+++ b/internal/scenario/zones/checks.go
@@ -21,7 +21,8 @@
 	// maxSurvivorLoad is the maximum load of the remaining servers within one second, as a multiple
 	// of their capacity: the full capacity, and an allowance for random variation.
 	maxSurvivorLoad = 1.25
-	// minContinuedShare is the minimum share of the usual first lines that nodes without a fault must send.
+	// minContinuedShare is the minimum share of the usual first lines that nodes without a fault
+	// must send.
 	minContinuedShare = 0.4
 )
 
@@ -84,7 +85,7 @@
 	return firstAt
 }
 
-// checkSpread checks that the nodes of each observing zone evacuate within spreadBound.
+// checkSpread checks that the nodes of each observing zone evacuate within spreadBound of the first.
 func (s *scenario) checkSpread(e evacuation, evacuatedAt, firstAt map[string]time.Time) {
 	notEvacuated := 0.0
 	for _, name := range e.nodes {
@@ -97,7 +98,7 @@
 		spread := at.Sub(firstAt[s.Zone(name)])
 		s.recordMaxMs(e.phase+"_spread_ms", spread)
 		if spread > spreadBound+2*pollInterval {
-			s.violationf("together", "%s: %s evacuated %s %v after the first of its zone, at most %v is allowed",
+			s.violationf("together", "%s: %s evacuated %s %v after the first of its zone, want at most %v",
 				e.phase, name, e.zone, spread, spreadBound)
 		}
 	}
@@ -119,7 +120,7 @@
 			s.violationf("leave", "%s: %s sent %s a first line %v after the fault",
 				e.phase, line.Node, line.Server, sinceFault)
 		case !firstEvacuation.IsZero() && line.At.Sub(firstEvacuation) > spreadBound+inFlightSlack:
-			s.violationf("together", "%s: %s sent %s a first line %v after the first of its zone had evacuated",
+			s.violationf("together", "%s: %s sent %s a first line %v after its zone began to evacuate",
 				e.phase, line.Node, line.Server, line.At.Sub(firstEvacuation))
 		}
 	}
@@ -141,8 +142,8 @@
 	}
 }
 
-// checkStillSends checks that the given nodes still send a zone at least minContinuedShare of their usual
-// traffic.
+// checkStillSends checks that the given nodes still send a zone at least minContinuedShare of their
+// usual traffic.
 func (s *scenario) checkStillSends(phase, zone string, nodes []string, from, until time.Time) {
 	sent := 0
 	for _, line := range s.FirstLinesInto(zone, from, until) {
@@ -150,7 +151,8 @@
 			sent++
 		}
 	}
-	usual := s.rate / float64(len(s.Names)) * float64(len(nodes)) / float64(len(s.Zones)) * until.Sub(from).Seconds()
+	usual := s.rate / float64(len(s.Names)) * float64(len(nodes)) / float64(len(s.Zones)) *
+		until.Sub(from).Seconds()
 	s.SetMetric(phase+"_goes_on", float64(sent)/usual)
 	if float64(sent) < minContinuedShare*usual {
 		s.violationf("viewpoint", "%s: nodes that reach zone %s sent it %d first lines, about %.0f are usual",
@@ -168,7 +170,9 @@
 	}
 	var at []time.Time
 	for _, line := range s.FirstLines(from, until) {
-		if slices.ContainsFunc(survivors, func(server *testbed.Server) bool { return server.Name == line.Server }) {
+		if slices.ContainsFunc(survivors, func(server *testbed.Server) bool {
+			return server.Name == line.Server
+		}) {
 			at = append(at, line.At)
 		}
 	}
@@ -188,7 +192,9 @@
 
 // checkRecovers waits until all members send to all zones again, and checks recoveryBound.
 func (s *scenario) checkRecovers(ctx context.Context, phase string) {
-	took, hasRecovered := testbed.Await(ctx, recoveryBound, func() bool { return s.watcher.hasRecovered(s.Names) })
+	took, hasRecovered := testbed.Await(ctx, recoveryBound, func() bool {
+		return s.watcher.hasRecovered(s.Names)
+	})
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/scenario/zones/partitions.go
+++ b/internal/scenario/zones/partitions.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// isolatedZone cuts the nodes of a zone off from the servers of all other zones: no zone may be
-// evacuated.
+// isolatedZone cuts the nodes of a zone off from the servers of all other zones. The isolated zone
+// must not report the others as failed, so no zone may be evacuated.
 func (s *scenario) isolatedZone(ctx context.Context, _ *mrand.Rand) error {
 	from := s.nextZone()
 	others := slices.DeleteFunc(s.AllServers(), func(server *testbed.Server) bool {
@@ -74,7 +74,8 @@
 	fake.Sleep(ctx, evacuationBound+evacuationSlack)
 	for _, zone := range s.Zones {
 		if zone != from {
-			s.checkStillSends("self", zone, s.NodesIn(from, false), startedAt.Add(evacuationBound/2), time.Now())
+			s.checkStillSends("self", zone, s.NodesIn(from, false),
+				startedAt.Add(evacuationBound/2), time.Now())
 		}
 	}
 	s.checkNotEvacuated("self", startedAt, func(status agentapi.ZoneStatus) bool { return true })
@@ -87,15 +88,15 @@
 // leader, and the zone is evacuated.
 func (s *scenario) fullDisk(ctx context.Context, rng *mrand.Rand) error {
 	leader := s.watcher.leader()
-	a := s.Agents[leader]
-	if a == nil {
+	agent := s.Agents[leader]
+	if agent == nil {
 		return fmt.Errorf("disk: no leader: %s", s.watcher.describe())
 	}
 	zone := s.nextZone()
 	startedAt := time.Now()
 	setFault(s.ServersIn(zone), fake.Unresponsive)
 	fake.Sleep(ctx, time.Duration(200+rng.IntN(600))*time.Millisecond)
-	if err := a.SetDiskFull(true); err != nil {
+	if err := agent.SetDiskFull(true); err != nil {
 		return err
 	}
 	s.checkEvacuated(ctx, evacuation{"disk", zone, s.Names, startedAt, evacuationBound + electionBound})
@@ -104,7 +105,7 @@
 		s.violationf("disk", "agent %s, whose disk is full, reports disk error %q as %s; the leader is %q",
 			leader, state.DiskError, state.Role, next)
 	}
-	if err := a.SetDiskFull(false); err != nil {
+	if err := agent.SetDiskFull(false); err != nil {
 		return err
 	}
 	setFault(s.ServersIn(zone), fake.Healthy)
--- a/internal/scenario/zones/scenario.go
+++ b/internal/scenario/zones/scenario.go
@@ -40,7 +40,7 @@
 	"quorum":    "the report of a single member is sufficient",
 }
 
-// Settings of the testbed, which are shorter than those of a real fleet.
+// Settings of the testbed, whose times are shorter than those of a real fleet.
 const (
 	slowStart    = 6 * time.Second
 	budgetWindow = 1500 * time.Millisecond
--- a/internal/scenario/zones/watcher.go
+++ b/internal/scenario/zones/watcher.go
@@ -30,13 +30,13 @@
 	zonesVersion  uint64
 }
 
-// rejectionChange is a change of the share of the load that is rejected by the replicated log.
+// rejectionChange is an update of the share of the load that all nodes reject by the replicated log.
 type rejectionChange struct {
 	share float64
 	at    time.Time
 }
 
-// limitChange is a change of the share of a zone's traffic to which an agent limits its node.
+// limitChange is a change of an agent's limit on the share of traffic that its node sends to a zone.
 type limitChange struct {
 	agent, zone string
 	share       float64
@@ -52,11 +52,11 @@
 func newWatcher(agents map[string]*testbed.Agent) *watcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{cancel: cancel, states: map[string]agentapi.State{}}
-	for name, a := range agents {
+	for name, agent := range agents {
 		w.wg.Go(func() {
 			for {
 				var state agentapi.State
-				err := a.Call(agentapi.OperatorRequest{Method: "state"}, &state)
+				err := agent.Call(agentapi.OperatorRequest{Method: "state"}, &state)
 				w.recordState(name, state, err == nil)
 				if !fake.Sleep(ctx, pollInterval) {
 					return
@@ -183,7 +183,8 @@
 	defer w.mu.Unlock()
 	at := map[string]time.Time{}
 	for _, limit := range w.limitChanges {
-		if _, ok := at[limit.agent]; limit.zone == zone && limit.share == 0 && !ok && limit.at.After(since) {
+		if _, ok := at[limit.agent]; limit.zone == zone && limit.share == 0 &&
+			!ok && limit.at.After(since) {
 			at[limit.agent] = limit.at
 		}
 	}
