--- a/cmd/coralscenario/udp.go
+++ b/cmd/coralscenario/udp.go
@@ -26,7 +26,7 @@
 	return c.runScenario(ctx, udp.Mutations, func(ctx context.Context, progress io.Writer) (*testbed.Result, error) {
 		play := udp.Play
 		if c.Speed {
-			play = udp.PlaySpeed
+			play = udp.MeasureSpeed
 		}
 		return play(ctx, udp.Options{
 			Seed:     c.Seed,
@@ -52,4 +52,4 @@
 }
 
 // Run forwards datagrams until ctx ends; kong calls it.
-func (c *bareCommand) Run(ctx context.Context) error { return udp.ForwardBare(ctx, c.Listen, c.To) }
+func (c *bareCommand) Run(ctx context.Context) error { return udp.RunBareLoop(ctx, c.Listen, c.To) }
--- a/internal/scenario/udp/bareloop.go
+++ b/internal/scenario/udp/bareloop.go
@@ -13,9 +13,9 @@
 	maxDatagramSize = 65507   // bytes
 )
 
-// ForwardBare reads batches from one address and writes them to another: what no forwarder in
+// RunBareLoop reads batches from one address and writes them to another: what no forwarder in
 // Go on these sockets can go below. It runs until ctx ends and uses one processor.
-func ForwardBare(ctx context.Context, listen, to string) error {
+func RunBareLoop(ctx context.Context, listen, to string) error {
 	runtime.GOMAXPROCS(1)
 	in, err := net.ListenPacket("udp", listen)
 	if err != nil {
--- a/internal/scenario/udp/speed.go
+++ b/internal/scenario/udp/speed.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// PlaySpeed measures what forwarding costs: a bare loop of reads and writes, and the node with a
+// MeasureSpeed measures what forwarding costs: a bare loop of reads and writes, and the node with a
 // socket for each upstream and for each flow, in turn and several times, as the machine's own
 // speed changes. The loop has one processor, the node as many as it is given, and all others are
 // this process's.
-func PlaySpeed(ctx context.Context, options Options) (*testbed.Result, error) {
+func MeasureSpeed(ctx context.Context, options Options) (*testbed.Result, error) {
 	result := testbed.NewResult("udp speed", options.Seed)
 	result.ScaledDown = "senders, forwarder and receiver on one machine; datagrams of 64 bytes"
 	options.Cores = max(options.Cores, 1)
--- a/internal/scenario/udp/udp.go
+++ b/internal/scenario/udp/udp.go
@@ -2,9 +2,9 @@
 // through a small table while servers drain, hang and crash, or steady flows beside floods of
 // new ones. It checks at the fake servers that nothing reaches a server that drains, that a
 // silent one is left, that replies reach the flow they belong to and that the node's own counters
-// add up. PlaySpeed measures what forwarding costs against a bare loop of system calls.
+// add up. MeasureSpeed measures what forwarding costs against a bare loop of system calls.
 //
-// Play and PlaySpeed own all goroutines, processes and fake servers. All have ended when they
+// Play and MeasureSpeed own all goroutines, processes and fake servers. All have ended when they
 // return.
 package udp
 
