--- a/internal/scenario/udp/bareloop.go
+++ b/internal/scenario/udp/bareloop.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	bareLoopBuffer  = 4 << 20 // bytes, of each socket
+	bareLoopBuffer  = 4 << 20 // bytes per socket
 	maxDatagramSize = 65507   // bytes
 )
 
-// RunBareLoop reads batches from one address and writes them to another: what no forwarder in
-// Go on these sockets can go below. It runs until ctx ends and uses one processor.
+// RunBareLoop reads batches of datagrams from one address and writes them to another until ctx
+// ends. It uses one processor. Its cost is the lower bound for a forwarder in Go on these sockets.
 func RunBareLoop(ctx context.Context, listen, to string) error {
 	runtime.GOMAXPROCS(1)
 	in, err := net.ListenPacket("udp", listen)
@@ -31,14 +31,14 @@
 	})
 	_ = in.(*net.UDPConn).SetReadBuffer(bareLoopBuffer)
 	_ = out.(*net.UDPConn).SetWriteBuffer(bareLoopBuffer)
-	from, into := ipv4.NewPacketConn(in), ipv4.NewPacketConn(out.(*net.UDPConn))
-	read, written := make([]ipv4.Message, batchSize), make([]ipv4.Message, batchSize)
+	reader, writer := ipv4.NewPacketConn(in), ipv4.NewPacketConn(out.(*net.UDPConn))
+	read, outgoing := make([]ipv4.Message, batchSize), make([]ipv4.Message, batchSize)
 	for i := range read {
 		read[i].Buffers = [][]byte{make([]byte, maxDatagramSize)}
-		written[i].Buffers = make([][]byte, 1)
+		outgoing[i].Buffers = make([][]byte, 1)
 	}
 	for {
-		count, err := from.ReadBatch(read, 0)
+		count, err := reader.ReadBatch(read, 0)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -46,13 +46,13 @@
 			return err
 		}
 		for i := range read[:count] {
-			written[i].Buffers[0] = read[i].Buffers[0][:read[i].N]
+			outgoing[i].Buffers[0] = read[i].Buffers[0][:read[i].N]
 		}
-		writeAll(into, written[:count])
+		writeAll(writer, outgoing[:count])
 	}
 }
 
-// writeAll writes a batch; a datagram that can't be written is dropped.
+// writeAll writes a batch of datagrams and drops each one whose write fails.
 func writeAll(conn *ipv4.PacketConn, messages []ipv4.Message) {
 	for len(messages) > 0 {
 		count, err := conn.WriteBatch(messages, 0)
--- a/internal/scenario/udp/endpoints.go
+++ b/internal/scenario/udp/endpoints.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// timestampSize is that of the time at the end of each datagram: nanoseconds since 1970,
-	// big endian.
+	// timestampSize is the size in bytes of the timestamp at the end of each datagram: nanoseconds
+	// since 1970, big endian.
 	timestampSize = 8
-	// fullSpeedBurst is how many datagrams of one flow a sender writes at once, if it has no rate.
-	fullSpeedBurst = 16
+	// unpacedBurst is the number of datagrams that a sender without a rate writes per system call.
+	unpacedBurst = 16
 
 	receiveBuffer = 8 << 20 // bytes
 	sendBuffer    = 4 << 20 // bytes
 )
 
-// receiver takes what arrives at a server's port. Its goroutine ends with the context.
+// receiver counts the datagrams that arrive at a server's address. Its goroutine ends with the
+// context passed to newReceiver.
 type receiver struct {
 	conn     *net.UDPConn
 	received atomic.Int64 // datagrams
 
 	mu     sync.Mutex
-	delays *hdrhistogram.Histogram // microseconds from a datagram's timestamp; nil for none
+	delays *hdrhistogram.Histogram // in microseconds; nil while not recording
 }
 
 func newReceiver(ctx context.Context, addr string) (*receiver, error) {
@@ -51,7 +52,7 @@
 	return r, nil
 }
 
-// readLoop takes datagrams until the socket is closed.
+// readLoop reads datagrams until the socket is closed.
 func (r *receiver) readLoop() {
 	packets := ipv4.NewPacketConn(r.conn)
 	messages := make([]ipv4.Message, 256)
@@ -68,7 +69,7 @@
 	}
 }
 
-// addDelays notes the delay of each datagram, if delays are recorded now.
+// addDelays records the time since each datagram's timestamp, if recording is enabled.
 func (r *receiver) addDelays(messages []ipv4.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,33 +78,34 @@
 	}
 	now := time.Now().UnixNano()
 	for _, message := range messages {
-		// The timestamp is at the end, whatever header came in front.
-		at := message.N - timestampSize
-		if at < 0 {
+		// The timestamp is at the end, because a header may precede the payload.
+		timestampOffset := message.N - timestampSize
+		if timestampOffset < 0 {
 			continue
 		}
-		sentAt := int64(binary.BigEndian.Uint64(message.Buffers[0][at:message.N]))
+		sentAt := int64(binary.BigEndian.Uint64(message.Buffers[0][timestampOffset:message.N]))
 		_ = r.delays.RecordValue(max(0, now-sentAt)/1000 + 1)
 	}
 }
 
-// recordDelays has delays noted from now on, or no more, and returns what was noted before.
-func (r *receiver) recordDelays(on bool) *hdrhistogram.Histogram {
+// setDelayRecording enables or disables the recording of delays. It returns the delays recorded so
+// far and discards them; nil if recording was disabled.
+func (r *receiver) setDelayRecording(enabled bool) *hdrhistogram.Histogram {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.delays
+	previous := r.delays
 	r.delays = nil
-	if on {
+	if enabled {
 		r.delays = hdrhistogram.New(1, 10_000_000, 3)
 	}
-	return before
+	return previous
 }
 
-// sender sends for a share of the flows.
+// sender sends the datagrams of some of the flows.
 type sender struct{ flows []*ipv4.PacketConn }
 
-// newSenders opens the sockets of all flows and spreads them over count senders. They are closed
-// with the context.
+// newSenders opens the sockets of all flows and distributes them over count senders. The sockets are
+// closed when ctx ends.
 func newSenders(ctx context.Context, to string, count int) ([]sender, error) {
 	senders := make([]sender, count)
 	for i := range senderFlows {
@@ -121,8 +123,9 @@
 	return senders, nil
 }
 
-// sendOneEach sends a datagram of each flow, without a timestamp, and returns how many were sent.
-func (s sender) sendOneEach() (sent int) {
+// sendOneDatagramPerFlow sends one datagram on each flow, without a timestamp, and returns how many
+// were sent.
+func (s sender) sendOneDatagramPerFlow() (sent int) {
 	for _, flow := range s.flows {
 		count, _ := flow.WriteBatch([]ipv4.Message{{Buffers: [][]byte{make([]byte, payloadSize)}}}, 0)
 		sent += max(count, 0)
@@ -130,10 +133,10 @@
 	return sent
 }
 
-// send sends bursts of one flow after the other until ctx ends: as fast as it goes if rate is 0,
-// or so many datagrams a second.
+// send sends datagrams on its flows in turn until ctx ends: rate datagrams per second, or bursts as
+// fast as possible if rate is 0.
 func (s sender) send(ctx context.Context, rate float64) {
-	burst := fullSpeedBurst
+	burst := unpacedBurst
 	if rate > 0 {
 		burst = 1
 	}
@@ -141,10 +144,10 @@
 	for i := range messages {
 		messages[i].Buffers = [][]byte{make([]byte, payloadSize)}
 	}
-	begunAt, sent := time.Now(), 0
+	startedAt, sent := time.Now(), 0
 	for i := 0; ctx.Err() == nil; i++ {
 		if rate > 0 {
-			time.Sleep(time.Until(begunAt.Add(time.Duration(float64(sent) / rate * float64(time.Second)))))
+			time.Sleep(time.Until(startedAt.Add(time.Duration(float64(sent) / rate * float64(time.Second)))))
 		}
 		now := uint64(time.Now().UnixNano())
 		for _, message := range messages {
--- a/internal/scenario/udp/measure.go
+++ b/internal/scenario/udp/measure.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// settleInterval is the time from one try of all flows to the next, before a measurement.
-	settleInterval = 200 * time.Millisecond
-	// settleTimeout is how long the forwarder may take to forward all flows.
-	settleTimeout = 10 * time.Second
+	// readinessInterval is the time between two checks that all flows are forwarded, before a
+	// measurement.
+	readinessInterval = 200 * time.Millisecond
+	// readinessTimeout is the maximum time until the forwarder forwards all flows.
+	readinessTimeout = 10 * time.Second
 )
 
-// measurement is that of one forwarder in one round.
+// measurement is the measurement of one forwarder in one round.
 type measurement struct {
 	Options
 	result    *testbed.Result
 	forwarder forwarder
-	dir       string // of the node's files
-	pinned    bool   // the forwarder has processors of its own
+	dir       string // directory of the node's files
+	pinned    bool   // the forwarder runs on reserved processors
 }
 
-// run starts the forwarder and measures the delay at a low rate, then the highest rate. All that
-// it starts has ended when it returns.
-func (m measurement) run(ctx context.Context) (found measured, err error) {
+// run starts the forwarder and measures its delay at pacedRate, then its maximum rate. Everything
+// that it starts has ended when it returns.
+func (m measurement) run(ctx context.Context) (measured measurementResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	discovery := fake.NewDiscovery()
@@ -44,43 +45,43 @@
 		Capacity: 1_000_000,
 	}, []string{nodeName})
 	if err != nil {
-		return found, err
+		return measured, err
 	}
 	defer server.Kill()
 	to := addrs[nodeName]
 	receiver, err := newReceiver(ctx, to)
 	if err != nil {
-		return found, err
+		return measured, err
 	}
 	listen, err := loopback.Reserve()
 	if err != nil {
-		return found, err
+		return measured, err
 	}
 	stop, err := m.startForwarder(ctx, discovery, listen, to)
 	if err != nil {
-		return found, err
+		return measured, err
 	}
 	defer stop()
 	senders, err := newSenders(ctx, listen, 2*m.Cores)
 	if err != nil {
-		return found, err
+		return measured, err
 	}
-	if err := awaitAllFlows(ctx, senders, receiver); err != nil {
-		return found, err
+	if err := waitForAllFlows(ctx, senders, receiver); err != nil {
+		return measured, err
 	}
 
-	receiver.recordDelays(true)
+	receiver.setDelayRecording(true)
 	sendFromAll(ctx, senders, pacedRate)
-	found.delays = receiver.recordDelays(false)
+	measured.delays = receiver.setDelayRecording(false)
 
-	before, begunAt := receiver.received.Load(), time.Now()
+	before, startedAt := receiver.received.Load(), time.Now()
 	sendFromAll(ctx, senders, 0)
 	fake.Sleep(ctx, 20*time.Millisecond)
-	found.rate = float64(receiver.received.Load()-before) / time.Since(begunAt).Seconds()
-	return found, ctx.Err()
+	measured.rate = float64(receiver.received.Load()-before) / time.Since(startedAt).Seconds()
+	return measured, ctx.Err()
 }
 
-// startForwarder starts what is measured; stop ends it.
+// startForwarder starts the bare loop or a node; stop ends it.
 func (m measurement) startForwarder(ctx context.Context, discovery *fake.Discovery, listen, to string) (
 	stop func(), err error) {
 	if m.forwarder == bareLoop {
@@ -112,26 +113,26 @@
 	return node.Kill, nil
 }
 
-// startBareLoop starts the bare loop in a process of its own: this program's hidden command.
+// startBareLoop runs the bare loop in a separate process, by this program's hidden command.
 func (m measurement) startBareLoop(ctx context.Context, listen, to string) (stop func(), err error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	loop := exec.CommandContext(ctx, self, "bare", listen, to)
-	if err := startPinned(m.pinned, 1, loop.Start); err != nil {
+	command := exec.CommandContext(ctx, executable, "bare", listen, to)
+	if err := startPinned(m.pinned, 1, command.Start); err != nil {
 		cancel()
 		return nil, err
 	}
 	return func() {
 		cancel()
-		_ = loop.Wait() // it was killed
+		_ = command.Wait() // the error only says that it was killed
 	}, nil
 }
 
-// sendFromAll has all senders send for measurementTime: so many datagrams a second in all, or as
-// many as they can if rate is 0.
+// sendFromAll lets all senders send for measurementTime: rate datagrams per second in total, or as
+// many as possible if rate is 0.
 func sendFromAll(ctx context.Context, senders []sender, rate float64) {
 	ctx, stop := context.WithTimeout(ctx, measurementTime)
 	defer stop()
@@ -142,22 +143,22 @@
 	wg.Wait()
 }
 
-// awaitAllFlows waits until a datagram of every flow goes through.
-func awaitAllFlows(ctx context.Context, senders []sender, receiver *receiver) error {
-	for begunAt := time.Now(); ; {
+// waitForAllFlows waits until a datagram of every flow is forwarded. It fails after readinessTimeout.
+func waitForAllFlows(ctx context.Context, senders []sender, receiver *receiver) error {
+	for startedAt := time.Now(); ; {
 		before, sent := receiver.received.Load(), 0
 		for _, s := range senders {
-			sent += s.sendOneEach()
+			sent += s.sendOneDatagramPerFlow()
 		}
-		if !fake.Sleep(ctx, settleInterval) {
+		if !fake.Sleep(ctx, readinessInterval) {
 			return ctx.Err()
 		}
 		forwarded := receiver.received.Load() - before
 		if sent == senderFlows && forwarded >= senderFlows {
 			return nil
 		}
-		if time.Since(begunAt) > settleTimeout {
-			return fmt.Errorf("of %d flows %d go through", senderFlows, forwarded)
+		if time.Since(startedAt) > readinessTimeout {
+			return fmt.Errorf("waiting for all flows: of %d flows, %d were forwarded", senderFlows, forwarded)
 		}
 	}
 }
--- a/internal/scenario/udp/processors.go
+++ b/internal/scenario/udp/processors.go
@@ -8,22 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// reserveProcessors keeps this process off the first processors, if there are enough: two for
-// each core of the node's, as two may be one core's. restore undoes it.
+// reserveProcessors excludes this process from the first processors, two for each of the node's
+// cores, because two processors may be hardware threads of one core. It does nothing if there are too
+// few processors. ok is true if startPinned may use the reserved ones; restore undoes the change.
 func reserveProcessors(cores int) (ok bool, restore func()) {
-	var all, rest unix.CPUSet
+	var all, remaining unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 2*cores+2 {
 		return false, func() {}
 	}
-	rest = all
+	remaining = all
 	for i := range 2 * cores {
-		rest.Clear(i)
+		remaining.Clear(i)
 	}
-	setAllThreads(&rest)
+	setAllThreads(&remaining)
 	return all.IsSet(0), func() { setAllThreads(&all) }
 }
 
-// setAllThreads sets the processors that the threads of this process may use.
+// setAllThreads sets the processor affinity of all threads of this process.
 func setAllThreads(processors *unix.CPUSet) {
 	tasks, _ := os.ReadDir("/proc/self/task")
 	for _, task := range tasks {
@@ -33,13 +34,13 @@
 	}
 }
 
-// startPinned calls start, which starts a process, so that the process has the first processors,
-// one of each two; if not pinned, it has those of this process.
+// startPinned calls start, which starts a process. If pinned, that process runs on every second one
+// of the reserved processors, one per core; otherwise it runs on the processors of this process.
 func startPinned(pinned bool, cores int, start func() error) error {
 	if !pinned {
 		return start()
 	}
-	runtime.LockOSThread() // a child has the processors of the thread that starts it
+	runtime.LockOSThread() // a child inherits the affinity of the thread that starts it
 	defer runtime.UnlockOSThread()
 	var before, reserved unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &before); err != nil {
--- a/internal/scenario/udp/shortflows.go
+++ b/internal/scenario/udp/shortflows.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// concurrentFlows is how many short flows are under way at once.
+	// concurrentFlows is the number of short flows that are active at a time.
 	concurrentFlows = 300
-	// clientAddresses is how many addresses flows come from; one comes again when its flow
-	// before is over.
+	// clientAddresses is the number of source addresses. Flows use them in turn, so that an address
+	// is reused after its previous flow has ended.
 	clientAddresses = 20_000
-	// datagramsPerFlow is what a short flow sends, one each datagramInterval.
+	// datagramsPerFlow is the number of datagrams of a short flow, one per datagramInterval.
 	datagramsPerFlow = 3
 	datagramInterval = 15 * time.Millisecond
-	// memoryInterval is the time from one look at the node's memory to the next.
+	// memoryInterval is the time between two samples of the node's memory.
 	memoryInterval = 200 * time.Millisecond
-	// maxMemoryGrowth is by what part the node's memory may grow from the third quarter of the
-	// flows to the last.
+	// maxMemoryGrowth is the maximum relative growth of the node's mean memory from the third
+	// quarter of the flows to the last.
 	maxMemoryGrowth = 0.1
 )
 
-// playShortFlows sends all short flows while servers drain, hang and crash, and watches the
-// node's memory meanwhile.
-func (r *run) playShortFlows(ctx context.Context) {
+// runShortFlows runs all short flows while servers drain, hang and crash, and samples the node's
+// memory.
+func (r *run) runShortFlows(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var faults sync.WaitGroup
 	faults.Go(func() { r.injectFaults(ctx) })
-	var begun atomic.Int64 // flows
+	var started atomic.Int64 // flows
 	var flows sync.WaitGroup
 	for i := range concurrentFlows {
 		flows.Go(func() {
-			fake.Sleep(ctx, time.Duration(i)*arrivals/concurrentFlows)
-			r.sendFlows(ctx, &begun)
+			fake.Sleep(ctx, time.Duration(i)*rampUpTime/concurrentFlows)
+			r.sendFlows(ctx, &started)
 		})
 	}
 	done := make(chan struct{})
@@ -54,27 +54,28 @@
 		case <-time.After(memoryInterval):
 		}
 		bytes := r.node.ResidentMemory()
-		memory.add(float64(begun.Load())/float64(r.Flows), bytes)
-		r.showProgress(begun.Load(), bytes)
+		memory.add(float64(started.Load())/float64(r.Flows), bytes)
+		r.showProgress(started.Load(), bytes)
 	}
 	r.checkMemory(memory)
 	cancel()
 	faults.Wait()
 }
 
-// sendFlows sends one short flow after the other until all have begun or ctx ends.
-func (r *run) sendFlows(ctx context.Context, begun *atomic.Int64) {
+// sendFlows runs short flows one after another until all have been started or ctx ends.
+func (r *run) sendFlows(ctx context.Context, started *atomic.Int64) {
 	for ctx.Err() == nil {
-		number := begun.Add(1)
+		number := started.Add(1)
 		if number > int64(r.Flows) {
 			return
 		}
 		name := fmt.Sprintf("f%d", number)
 		address := uint32(number % clientAddresses)
-		answered, strays := fake.ProbeFlow(ctx, r.config.Listen, name, address, datagramsPerFlow, datagramInterval)
+		answered, strayReplies := fake.ProbeFlow(ctx, r.config.Listen, name, address,
+			datagramsPerFlow, datagramInterval)
 		r.AddMetric("answered", float64(answered))
 		r.AddMetric("sent", datagramsPerFlow)
-		for _, text := range strays {
+		for _, text := range strayReplies {
 			r.AddViolation("stray", fmt.Sprintf("%s got %q", name, text))
 		}
 		r.mu.Lock()
@@ -93,35 +94,35 @@
 // memoryUse is the node's resident memory, in bytes.
 type memoryUse struct {
 	peak                      float64
-	thirdQuarter, lastQuarter mean
+	thirdQuarter, lastQuarter runningMean
 }
 
-// mean is that of several samples.
-type mean struct {
+// runningMean is the mean of the samples added to it.
+type runningMean struct {
 	sum   float64
 	count int
 }
 
-func (m *mean) add(sample float64) {
+func (m *runningMean) add(sample float64) {
 	m.sum += sample
 	m.count++
 }
 
-func (m mean) value() float64 { return m.sum / float64(m.count) }
+func (m runningMean) value() float64 { return m.sum / float64(m.count) }
 
-// add notes the memory in use when a part of all flows, 0 to 1, had begun.
-func (m *memoryUse) add(part, bytes float64) {
+// add records the memory in use when the given fraction of all flows, from 0 to 1, has been started.
+func (m *memoryUse) add(fraction, bytes float64) {
 	switch {
-	case part > 0.75:
+	case fraction > 0.75:
 		m.lastQuarter.add(bytes)
-	case part > 0.5:
+	case fraction > 0.5:
 		m.thirdQuarter.add(bytes)
 	}
 	m.peak = max(m.peak, bytes)
 }
 
-// checkMemory checks that the node's memory has stopped growing, if the table had the time to
-// fill.
+// checkMemory checks that the node's memory grew by at most maxMemoryGrowth towards the end of the
+// run. Runs that may be too short to fill the flow table first are not checked.
 func (r *run) checkMemory(memory memoryUse) {
 	r.SetMetric("node MB at most", memory.peak/1e6)
 	if memory.thirdQuarter.count == 0 || memory.lastQuarter.count == 0 {
@@ -130,6 +131,7 @@
 	growth := memory.lastQuarter.value()/memory.thirdQuarter.value() - 1
 	r.SetMetric("memory growth in the second half", growth)
 	if growth > maxMemoryGrowth && r.Flows >= 10*r.Table {
-		r.AddViolation("memory", fmt.Sprintf("grew by %.0f%% from the third quarter to the last", 100*growth))
+		r.AddViolation("memory", fmt.Sprintf("node memory grew by %.0f%% from the third quarter to the last",
+			100*growth))
 	}
 }
--- a/internal/scenario/udp/udp.go
+++ b/internal/scenario/udp/udp.go
@@ -1,11 +1,11 @@
-// Package udp plays the scenario of flows of datagrams through one node: many short flows
-// through a small table while servers drain, hang and crash, or steady flows beside floods of
-// new ones. It checks at the fake servers that nothing reaches a server that drains, that a
-// silent one is left, that replies reach the flow they belong to and that the node's own counters
-// add up. MeasureSpeed measures what forwarding costs against a bare loop of system calls.
+// Package udp runs the scenario of UDP flows through one node: either many short flows through a
+// small flow table while servers drain, hang and crash, or steady flows during floods of new ones.
+// It checks that a draining server receives no datagrams after the grace period, that flows leave a
+// silent server, that replies reach the flow that they belong to, and that the node's counters are
+// consistent. MeasureSpeed measures the cost of forwarding against a bare loop of system calls.
 //
-// Play and MeasureSpeed own all goroutines, processes and fake servers. All have ended when they
-// return.
+// Play and MeasureSpeed own all goroutines, processes and fake servers that they start. All of them
+// have ended when the functions return.
 package udp
 
 import (
@@ -22,40 +22,40 @@
 	"coralrelay/internal/scenario/testbed"
 )
 
-// Options size the scenario.
+// Options configures the scenario and the measurement.
 type Options struct {
 	Seed             uint64
-	Flows            int       // short flows, in all
-	Table            int       // flows that the node's table holds
-	Servers          int       // fake servers
-	Steady           int       // flows beside floods
-	Flood            bool      // steady flows beside floods, in place of short ones
-	Cores            int       // that the node has
+	Flows            int       // total number of short flows
+	Table            int       // capacity of the node's flow table
+	Servers          int       // number of fake servers
+	Steady           int       // number of steady flows during floods
+	Flood            bool      // run steady flows during floods instead of short flows
+	Cores            int       // number of the node's cores
 	Shared           bool      // the node's flows share a socket to each upstream
 	Binary, Mutation string    // the node's binary; a key of Mutations or empty
 	Progress         io.Writer // nil for none
 }
 
-// Mutations are the guards that the scenario can switch off, all in the node.
+// Mutations maps each guard of the node that the scenario can disable to the effect of disabling it.
 var Mutations = map[string]string{
-	"drain":       "the node does not hear that a server drains",
-	"expiry":      "the node forgets no flow",
-	"silence":     "the node's flows stay with an upstream that has fallen silent",
-	"source":      "the node does not bound new flows of one source",
-	mutationStale: "the node passes replies on to flows that are over, or stand elsewhere",
+	"drain":       "the node treats draining servers as ready",
+	"expiry":      "idle flows do not expire in the node",
+	"silence":     "the node keeps flows on an upstream that has become silent",
+	"source":      "the node does not limit the rate of new flows per source",
+	mutationStale: "the node forwards replies for flows that have ended or moved to another upstream",
 }
 
-// mutationStale can be seen with shared sockets alone.
+// mutationStale has an effect only with shared sockets, so the scenario uses them for it.
 const mutationStale = "stale"
 
 const (
 	nodeName = "n0"
-	// arrivals is how long the flows take to come at first.
-	arrivals = 3 * time.Second
-	// flowTimeout is how long a silent flow stays in the node's table.
+	// rampUpTime is the time over which the first flows are started.
+	rampUpTime = 3 * time.Second
+	// flowTimeout is the time after which the node removes an idle flow from its table.
 	flowTimeout = time.Second
-	// otherSockets is how many sockets the node may have beside one a flow.
-	otherSockets = 2000
+	// extraSockets is the number of sockets that the node may use in addition to one per flow.
+	extraSockets = 2000
 )
 
 // run is one run of the scenario.
@@ -68,12 +68,13 @@
 	config    operatorconfig.UDP
 
 	mu          sync.Mutex
-	lastServer  map[string]string    // by flow: the server that had its latest datagram
-	disturbedAt map[string]time.Time // by server: when it last began to drain, crashed or came back
-	hungSince   map[string]time.Time // by server: since when it answers nothing
+	lastServer  map[string]string    // by flow: the server that received its latest datagram
+	lastFaultAt map[string]time.Time // by server: start or end of its latest drain, hang or crash
+	hungSince   map[string]time.Time // by server: start of the hang, while it lasts
 }
 
-// Play plays the scenario. The result holds what broke; an error says that it could not run.
+// Play runs the scenario. The result holds the violations found; an error means that the scenario
+// could not be run.
 func Play(ctx context.Context, options Options) (*testbed.Result, error) {
 	if err := testbed.CheckMutation(Mutations, options.Mutation); err != nil {
 		return nil, err
@@ -88,31 +89,32 @@
 		Result:      testbed.NewResult("udp", options.Seed),
 		discovery:   fake.NewDiscovery(),
 		lastServer:  map[string]string{},
-		disturbedAt: map[string]time.Time{},
+		lastFaultAt: map[string]time.Time{},
 		hungSince:   map[string]time.Time{},
 	}
-	r.ScaledDown = fmt.Sprintf("all parties on one machine, %d flows at once; warm-up 2 s in place of up to 23 s",
+	r.ScaledDown = fmt.Sprintf(
+		"everything on one machine, %d concurrent flows; warm-up 2 s instead of up to 23 s",
 		concurrentFlows)
 	defer r.close()
 	if err := r.start(ctx, dir); err != nil {
 		return nil, err
 	}
 	if options.Flood {
-		r.playFlood(ctx)
+		r.runFlood(ctx)
 	} else {
-		r.playShortFlows(ctx)
+		r.runShortFlows(ctx)
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	fake.Sleep(ctx, 2*time.Second+flowTimeout/2) // all flows are silent, and forgotten
+	fake.Sleep(ctx, 2*time.Second+flowTimeout/2) // by then all flows are idle and have expired
 	if err := r.node.Terminate(); err != nil {
 		return nil, err
 	}
 	return r.Result, r.checkCounters(filepath.Join(dir, nodeName, "log"))
 }
 
-// start starts the servers and the node.
+// start creates the node, starts the servers and then the node.
 func (r *run) start(ctx context.Context, dir string) (err error) {
 	binary := r.Binary
 	if r.Mutation != "" {
@@ -138,7 +140,7 @@
 		Mutation:       r.Mutation,
 		OperatorConfig: &config,
 		Cores:          r.Cores,
-		Sockets:        r.Table + otherSockets,
+		Sockets:        r.Table + extraSockets,
 	})
 	if err != nil {
 		return err
@@ -160,7 +162,7 @@
 	return r.node.Start(ctx)
 }
 
-// configure sets what the operator's file says of datagrams.
+// configure sets the UDP section of the node's operator configuration.
 func (r *run) configure(config *operatorconfig.UDP) (err error) {
 	if config.Listen, err = loopback.Reserve(); err != nil {
 		return err
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// close ends the node, then the servers and discovery.
+// close stops the node, then the servers and discovery.
 func (r *run) close() {
 	if r.node != nil {
 		r.node.Kill()
