--- a/internal/audit/violation.go
+++ b/internal/audit/violation.go
@@ -14,10 +14,10 @@
 	ImpossibleTransition Violation = iota // an event occurred in a state in which it is impossible
 	ConcurrentAttempt                     // an attempt began while another one was in progress
 	SentWhileDraining                     // the first line was written too long after a drain became known
-	SentByExpiredList                     // the first line was written too long after the list had expired
-	SentTooLate                           // the first line was written after the attempt's deadline
+	SentByExpiredList                     // the first line was written too long after the list's lease ended
+	SentTooLate                           // the first line was written too long after the attempt's deadline
 	ClosedUnanswered                      // a connection with an unanswered request was closed
-	AnsweredTooLate                       // the final answer was written after the request's deadline
+	AnsweredTooLate                       // the final answer was written too long after its deadline
 	violationCount
 )
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -21,15 +21,17 @@
 	// polls: docs/notes/lists.md has the calculation.
 	heartbeatInterval = 2 * time.Second
 	heartbeatTimeout  = heartbeatInterval + heartbeatInterval/4
-	// responseTimeout limits a dial. It also limits the time from the start of a call, or from the
-	// first byte of its list, until the next call is started in parallel. A connection whose first
-	// SYN is lost and is resent after a second is established within it.
+	// responseTimeout limits a dial. It is also the time after which a call becomes overdue, so that
+	// the next call can start in parallel, if its header or a list that has begun to arrive is still
+	// incomplete. For a call with a list deadline it counts from the start of the call; for a call
+	// after a failed one it counts from the first byte of the list. A connection whose first SYN is
+	// lost and is resent after a second is established within it.
 	responseTimeout = 1100 * time.Millisecond
-	// queueTimeout limits the time until the response header arrives; after it the next call is
-	// started in parallel. The service handles one call at a time and, by its protocol, itself
-	// ends the calls that have waited too long: after 1 s at one known site and after 3 s at
-	// another; no setting tells the limit. Before that, a new call gains nothing, as it would join
-	// the end of the queue.
+	// queueTimeout is the time after which a call without a list deadline becomes overdue if no
+	// response header has arrived, so that the next call can start in parallel. The service handles
+	// one call at a time and, by its protocol, itself ends the calls that have waited too long: after
+	// 1 s at one known site and after 3 s at another; no setting tells the limit. Before that, a new
+	// call gains nothing, as it would join the end of the queue.
 	queueTimeout = 3100 * time.Millisecond
 	// minHeaderTimeout is the least time that a call waits for the response header; a large number
 	// of instances makes it longer. The call keeps its place in the service's queue for that time,
@@ -87,7 +89,7 @@
 const (
 	progressNone      progress = iota // the call has started
 	progressConnected                 // the connection is established
-	progressHeader                    // the response header has arrived; a message need not follow
+	progressHeader                    // the header has arrived; no message follows if nothing has changed
 	progressFirstByte                 // the first byte of the first message has arrived
 	progressHeartbeat                 // an empty line has arrived; all earlier changes came before it
 	progressMessage                   // a complete message has arrived, the first or a later one
--- a/internal/discovery/skew.go
+++ b/internal/discovery/skew.go
@@ -91,7 +91,7 @@
 // startTimeConverter converts the start times of endpoints to the local clock.
 type startTimeConverter struct {
 	skew  clockSkew
-	known map[string]time.Duration // by endpoint ID, in the service's time; without those of 0
+	known map[string]time.Duration // by endpoint ID, in the service's time; without 0, which is long ago
 }
 
 // convert converts the start times of a message that arrived at now. isLive is set if the message
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -105,7 +105,7 @@
 
 // decodeEndpoint decodes an entry. For an endpoint that is draining or gone only the ID is needed;
 // the other fields may be malformed. If it fails, it also returns a draining endpoint, whose ID is
-// empty if unreadable.
+// empty if it could not be read.
 func decodeEndpoint(raw json.RawMessage) (Endpoint, error) {
 	var decoded instance
 	decodeErr := json.Unmarshal(raw, &decoded)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -54,7 +54,7 @@
 	polledAddr     string     // address of the latest call
 	lastGeneration int64      // generation of the latest list from polledAddr
 	nextReason     callReason // reason for the next call
-	needsFullList  bool       // the latest message was unusable; further changes may be so too
+	needsFullList  bool       // the next call requests a complete list: changes may be unusable again
 	startTimes     startTimeConverter
 	calls          []*call // ongoing calls, at most two; all but the last have been reported as failed
 	callGroup      sync.WaitGroup
@@ -79,7 +79,8 @@
 	}
 }
 
-// Subscribe requests a call, unless one is ongoing. It does not block.
+// Subscribe requests a call, and does not block. The request has no effect if the latest call is neither
+// overdue nor failed. While two calls are ongoing, the request waits until one of them ends.
 func (w *Watcher) Subscribe() { signal(w.pollRequested) }
 
 // SetInstances sets how many instances call the service, including this one. It applies to calls
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -51,7 +51,7 @@
 	return probes
 }
 
-// adoptRoute counts a placement that a server already holds on its route.
+// adoptRoute finds the route of a placement that a server already holds, and counts the placement on it.
 func (l *EventLoop) adoptRoute(active *activePlacement) {
 	if l.Router != nil {
 		active.route, active.constraint = l.Router.Adopt(active.request)
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -48,7 +48,7 @@
 	Deadline         time.Time        // of the answer, or the end of the retry window
 	ClientHasLeft    bool             // according to the client's socket
 	EndpointDraining bool             // the endpoint is known to be draining or removed
-	Reattach         bool             // the endpoint holds the session, and takes it back even while draining
+	Reattach         bool             // the endpoint holds the session: drain and list expiry are ignored
 	List             listlease.Status // of the endpoint list from which the endpoint was chosen
 }
 
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -15,7 +15,7 @@
 	MayHaveRun                 // an earlier attempt may have run, and the request must not run twice
 	NotEstablished             // the session is not established, so it cannot be migrated or handed over
 	AlreadyMigrating           // MOVE is already to be sent to the client
-	HandoverInProgress         // the session is being handed over to the successor
+	HandoverInProgress         // the session is being or has been handed over to the successor
 	Unanswered                 // the request has no final answer
 	NodeDraining               // the node drains and accepts no new requests
 	Evicted                    // the client has been sent its last answer, and its connection lingers
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -119,7 +119,7 @@
 	{Answered, ClientLeft}:            true,
 	{ClientGone, AttemptEnded}:        true, // the attempt was cancelled because the client left
 	{ClientGone, ClientLeft}:          true,
-	{Offered, ClientLeft}:             true, // only the successor reads from the client now
+	{Offered, ClientLeft}:             true, // no longer read here; the successor will notice
 	{HandedOver, ClientLeft}:          true,
 	{Closing, ClientLeft}:             true,
 	{Closing, AttemptEnded}:           true,
--- a/internal/listlease/outcome.go
+++ b/internal/listlease/outcome.go
@@ -13,14 +13,14 @@
 const (
 	WatchEnded      Outcome = iota // the service ended a watch that had confirmed the list
 	WatchSilent                    // no data arrived in time on a watch that had confirmed the list
-	ConnectRefused                 // the connection was refused
+	ConnectRefused                 // the connection was refused: no process listens at the address
 	ConnectTimedOut                // the connection was not established in time
 	NotMade                        // the call failed in this process, such as for lack of a descriptor
 	Unavailable                    // the status of the answer was not 200
 	Reset                          // the connection ended or broke before the header was complete
 	Unanswered                     // no complete header arrived within its time limit
 	Incomplete                     // a header arrived, but no complete list
-	Unusable                       // the list was malformed, or older than the current one
+	Unusable                       // a message was malformed, or changes were older than the current list
 	Superseded                     // ended by this process: another call succeeded, or the address changed
 	OutcomeCount                   // number of outcomes
 )
--- a/internal/route/allowance.go
+++ b/internal/route/allowance.go
@@ -11,7 +11,8 @@
 // noLimit is the allowance of an unlimited resource.
 const noLimit = -1
 
-// allowance returns the amount of a resource that may be used on a path in this half epoch, or noLimit.
+// allowance returns the amount of a resource that may be used on a path in this half epoch. A negative
+// amount, such as noLimit, is unlimited.
 func (l *Limiter) allowance(now time.Duration, path string, resource int) float64 {
 	if !l.hasLease {
 		return noLimit
--- a/internal/route/bucket.go
+++ b/internal/route/bucket.go
@@ -8,8 +8,8 @@
 )
 
 // The bits of a specificity, one for each field that a match sets, as in account.Match.Specificity. Of
-// two matches, the one that sets the earlier field in the order class, tenant, group, range, returning,
-// retry has the greater specificity.
+// two matches, the one that sets the first field in which they differ, in the order class, tenant, group,
+// range, returning, retry, has the greater specificity.
 const (
 	fieldRetry = 1 << iota
 	fieldReturning
--- a/internal/route/limiter.go
+++ b/internal/route/limiter.go
@@ -26,8 +26,8 @@
 // resourceAmounts are amounts indexed by resource.
 type resourceAmounts [resourceCount]float64
 
-// Limiter counts this node's usage against its quota lease. Until it has a lease it rejects nothing. Times
-// are Unix times by the agent's clock.
+// Limiter counts this node's usage against its quota lease. Until it has a lease it applies no limits, and
+// only contracts reject sessions. Times are Unix times by the agent's clock.
 //
 // The lease of a half epoch grants tokens for set-ups, retries and probes, which expire at the end of the
 // half epoch. Until the lease of a half epoch arrives, the node uses its even share of each limit, and that
@@ -54,15 +54,15 @@
 	used        resourceAmounts // in this half epoch, except connections
 	rejected    resourceAmounts // in this half epoch
 	usedBefore  resourceAmounts // used in the previous half epoch
-	demand      resourceAmounts // used and rejected in the previous half epoch
+	demand      resourceAmounts // used plus rejected in the previous half epoch
 }
 
 // Rejection identifies the reason for which sessions were rejected: the level that had no capacity, or the
 // contract whose regions had none.
 type Rejection struct{ Account, Level, Resource string }
 
-// maxRejectionKinds is the maximum number of rejections that are counted separately, and of contracts that
-// have a remainder.
+// maxRejectionKinds is the maximum number of different Rejections that have a count of their own, and of
+// contracts whose remainders are kept.
 const maxRejectionKinds = 4096
 
 // NewLimiter returns a Limiter without a lease, for the configuration of the fleet. The error names the
@@ -89,9 +89,9 @@
 }
 
 // Admit counts a new session on all levels of its route. If a level has no capacity, the session is not
-// counted and fullPath is the highest such level, or the contract. A retry, whoever makes it, also counts as
-// a retry. The session counts as a connection until ConnectionClosed, so that concurrent sessions cannot
-// exceed a limit together.
+// counted and fullPath is the highest such level, or the contract. A session that is a retry also counts
+// against the limit of retries, whoever makes the retry. The session counts as a connection until
+// ConnectionClosed, so that concurrent sessions cannot exceed a limit together.
 func (l *Limiter) Admit(now time.Duration, route *Route, retry bool) (ok bool, fullPath string) {
 	l.advance(now)
 	needed := resourceAmounts{resourceConnections: 1, resourceSetups: 1, resourceProbes: 1}
--- a/internal/route/snapshot/build.go
+++ b/internal/route/snapshot/build.go
@@ -123,8 +123,8 @@
 }
 
 // contractOf returns the name of the contract of a route: the one that the route specifies, or one of the
-// nearest holder above it. Of several contracts of that holder, it is the first by priority among those that
-// have had an allocation.
+// nearest holder above it. Of several contracts of that holder it is the first by priority, where contracts
+// with an allocation come before those without one.
 func contractOf(route *account.Route, contracts slo.State, byHolder map[string][]slo.Contract) string {
 	if route.Contract != "" {
 		return route.Contract
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -129,9 +129,9 @@
 }
 
 // Find returns the route of a session, or nil if none matches. Of several matching routes it returns the
-// most specific one: the one whose match sets the earlier field in the order class, tenant, one group, a
-// range of groups, returning, retry. If two matches set the same fields, which a validated log does not
-// contain, Find returns the route with the lower path.
+// most specific one. Of two, that is the one whose match sets the first field in which they differ, in the
+// order class, tenant, one group, a range of groups, returning, retry. If two matches set the same
+// fields, which a validated log does not contain, Find returns the route with the lower path.
 func (t *Table) Find(query Query) *Route {
 	if t == nil || len(t.specificities) == 0 {
 		return nil
--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -16,8 +16,7 @@
 	return usage
 }
 
-// advance starts a new half epoch if now is after the end of the current one. Paths without usage are
-// removed.
+// advance starts a new half epoch if now is in a later one than the current. Paths without usage are removed.
 func (l *Limiter) advance(now time.Duration) {
 	halfEpoch := int64(now / (l.cfg.Epoch / 2))
 	if halfEpoch <= l.halfEpoch {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -69,7 +69,7 @@
 const maxSeconds = 1e8
 
 // validate returns an error for the first key whose value cannot be valid in any deployment. A missing key
-// has the value 0, which disables the feature.
+// has the value 0, which disables the feature that it configures.
 func (d *document) validate() error {
 	guarantees, limits := &d.Guarantees, &d.Limits
 	times := map[string]float64{"granularity": d.Granularity, "guarantees.askWithin": guarantees.AskWithin,
@@ -92,7 +92,7 @@
 			return fmt.Errorf("%s: %v is not in the range 0 to %v", key, seconds, maxSeconds)
 		}
 	}
-	switch { // 0 disables the rule; a slow start then has no budget
+	switch { // 0 is valid: a slow start then has no budget, and nInstances counts as 1
 	case guarantees.TipMultiple < 0 || guarantees.TipMultiple > 1e6:
 		return fmt.Errorf("guarantees.tipMultiple: %v is not in the range 0 to 1e6", guarantees.TipMultiple)
 	case d.NInstances < 0:
