--- a/cmd/coralrelay/activeconfig.go
+++ b/cmd/coralrelay/activeconfig.go
@@ -41,7 +41,7 @@
 	for _, class := range cfg.Settings.Classes {
 		classNames = append(classNames, class.Name)
 	}
-	a.metrics.AddClasses(classNames...) // before a request of a new class can arrive
+	a.metrics.AddClasses(classNames...) // before a request is served as one of a new class
 	a.pool.SetLimits(upstreamLimits(cfg.Settings))
 	a.watcher.SetInstances(cfg.Settings.Instances)
 	a.watcher.SetTerms(listlease.Terms{DrainGrace: cfg.Settings.Rules.DrainGrace, Pushed: cfg.Settings.ListPushed})
@@ -61,8 +61,8 @@
 }
 
 // reload reads the platform configuration again and applies it as a whole; an invalid file is logged
-// and changes nothing. It returns an error only if the process had no free descriptor to open the file,
-// so that the caller can retry.
+// and changes nothing. It returns an error only if no descriptor was free to open the file, so that the
+// caller can retry.
 func (a *activeConfig) reload() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cmd/coralrelay/descriptors.go
+++ b/cmd/coralrelay/descriptors.go
@@ -24,7 +24,7 @@
 	// maxProbeConns bounds the probe connections. It covers all endpoints of a fleet of the usual size; in a
 	// larger fleet, a node keeps connections to a subset of the endpoints (balance/subset.go).
 	maxProbeConns = 200
-	// probeConnsDivisor limits probe connections to this fraction of all descriptors.
+	// probeConnsDivisor limits probe connections to 1/probeConnsDivisor of all descriptors.
 	probeConnsDivisor = 4
 )
 
@@ -43,7 +43,7 @@
 	if operatorFile.UDP.Listen != "" {
 		budget.total = max(budget.total-operatorFile.UDP.Sockets, minClientSockets)
 	}
-	if cfg.AdminAddr != "" { // the calls, the listener, and an accepted connection that waits for a call slot
+	if cfg.AdminAddr != "" { // connections with a slot, the listener, a connection that waits for a slot
 		budget.reserved += admin.MaxConnections + 2
 	}
 	if lock != nil {
--- a/cmd/coralrelay/drain.go
+++ b/cmd/coralrelay/drain.go
@@ -36,7 +36,7 @@
 	hasSuccessor := n.lock.IsSiblingServing() // a sibling that is not ready or drains too accepts no clients
 	slog.Info("draining", "component", componentNode, "longest_deadline", longest, "successor", hasSuccessor)
 	plan := newDrainPlan(startedAt, longest)
-	if hasSuccessor { // accepts all new clients; this process serves those that it has accepted
+	if hasSuccessor { // the successor accepts all new clients; this process serves those accepted before
 		_ = n.listener.Close()
 		plan.RejectAt, plan.MoveStartAt = plan.EndAt, startedAt
 		if sender := n.dialSuccessor(); sender != nil {
--- a/cmd/coralrelay/endpoints.go
+++ b/cmd/coralrelay/endpoints.go
@@ -25,7 +25,8 @@
 	onEndpointCount func(n int)
 }
 
-// UpdateEndpoints passes on one update: a full list, a delta, or the failure of a discovery call.
+// UpdateEndpoints passes on one update: a complete list from discovery or from the configuration, a
+// delta, or the failure of a call or watch of discovery.
 func (e *endpointUpdater) UpdateEndpoints(update discovery.Update) {
 	if mutation.Enabled("drain") {
 		for i := range update.Endpoints {
--- a/cmd/coralrelay/fleetrouter.go
+++ b/cmd/coralrelay/fleetrouter.go
@@ -26,7 +26,8 @@
 	eventLoop *dispatch.EventLoop
 	halfEpoch time.Duration
 
-	// The following fields are used on the agent client's goroutine only.
+	// The following fields belong to the agent client's goroutine. It also uses them in functions that
+	// it passes to RunOnLoop, which waits for them.
 	reassembler       agentapi.Reassembler
 	table             *route.Table // the base of further changes; nil without a valid table
 	reportedHalfEpoch int64        // the last half epoch in which usage was reported
--- a/cmd/coralrelay/reload.go
+++ b/cmd/coralrelay/reload.go
@@ -16,7 +16,7 @@
 
 // reloadOnSIGHUP reloads both configuration files on each SIGHUP, until ctx ends.
 func (n *node) reloadOnSIGHUP(ctx context.Context, sighups <-chan os.Signal) {
-	operatorFile := n.operatorFile // in force now; n.operatorFile stays that of the start
+	operatorFile := n.operatorFile // the file in force; n.operatorFile keeps the one of the start
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,8 +47,8 @@
 }
 
 // reloadOperatorFile reads the operator's file again, if there is one, and returns the configuration that
-// is in force from now on. Invalid values leave the old ones in force. It returns an error only if the
-// process had no free descriptor to open the file.
+// is in force from now on. Invalid values leave the old ones in force. It returns an error only if no
+// descriptor was free to open the file.
 func reloadOperatorFile(
 	current operatorconfig.File, path string, tokens *tokenResumption,
 ) (operatorconfig.File, error) {
--- a/cmd/coralrelay/serve.go
+++ b/cmd/coralrelay/serve.go
@@ -210,7 +210,7 @@
 	if pending, ok := terminate.(signalFlusher); ok {
 		pending.FlushPending()
 	}
-	if terminate.Err() != nil { // terminated during the start: all clients are rejected
+	if terminate.Err() != nil { // during the start: clients are rejected, unless a sibling is alive
 		n.startDraining()
 	}
 	n.lock.SetServing(true) // before any client is accepted
--- a/cmd/coralrelay/signals.go
+++ b/cmd/coralrelay/signals.go
@@ -14,12 +14,12 @@
 	// pending signals in the order of their numbers, so its number must be higher than the numbers of
 	// the signals that terminate the process.
 	barrierSignal = syscall.SIGWINCH
-	// barrierTimeout bounds the wait for barrierSignal where it is not delivered, because the process
-	// may not send itself signals.
+	// barrierTimeout bounds the wait for barrierSignal in an environment that discards the signals that
+	// a process sends to itself without reporting an error.
 	barrierTimeout = 200 * time.Millisecond
 )
 
-// termination is a context that ends when the process receives SIGTERM or an interrupt.
+// termination is a context that ends when the process receives SIGTERM or SIGINT.
 type termination struct {
 	context.Context
 	barrierPassed chan struct{}
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -50,9 +50,10 @@
 	}
 }
 
-// reclaimCapacity returns 0 if there is capacity for one more client. Otherwise it evicts an idle
-// client or interrupts a lingering one, and returns how long to wait before the next call. Half of
-// the lingering sockets are reserved for clients that admit rejects.
+// reclaimCapacity evicts an idle client or interrupts a lingering one if there is no capacity. It
+// returns 0 if there is capacity for one more client, even if that client can only be rejected, and
+// otherwise how long to wait before the next call. Half of the lingering sockets are reserved for
+// clients that admit rejects.
 func (s *Server) reclaimCapacity() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -23,9 +23,9 @@
 	RejectAt    time.Time // new requests are rejected from then on
 	MoveStartAt time.Time
 	MoveEndAt   time.Time
-	// EndAt is when the drain stops waiting. At finalAnswerTime before it, which leaves time for
-	// one lingering close, idle clients and unanswered sessions get their last answer, and
-	// established sessions are migrated.
+	// EndAt is when the drain stops waiting. From finalAnswerTime before it, which leaves time for
+	// one lingering close, all established sessions are migrated at once, and a permanent drain
+	// gives idle clients and unanswered sessions their last answer.
 	EndAt time.Time
 	// Successor takes over the sessions that are established, now or later, in place of migrations;
 	// nil if there is none.
@@ -174,8 +174,8 @@
 	}
 }
 
-// classifyClients returns the established sessions that are not being migrated, and counts the idle
-// clients and all others, including lingering ones.
+// classifyClients returns the established sessions that are neither being migrated nor handed over,
+// and counts the idle clients and all others, including lingering ones.
 func (s *Server) classifyClients() (established []*proxy.Session, idle, others int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/pendingclient.go
+++ b/internal/downstream/pendingclient.go
@@ -27,7 +27,7 @@
 	client := &pendingClient{conn: conn, deadline: deadline}
 	s.clients[conn] = struct{}{}
 	client.element = s.idle.PushBack(client)
-	_ = conn.SetReadDeadline(deadline) // changed only by admit, and to interrupt the read
+	_ = conn.SetReadDeadline(deadline) // changed by admit, for the linger, and to interrupt the read
 	if s.rejectUnread {
 		s.evict(client)
 	}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -43,8 +43,8 @@
 	// RetryAfter is the retry delay sent to clients that are rejected before their request is read;
 	// 0 omits it.
 	RetryAfter time.Duration
-	// UsedElsewhere returns how many of the sockets another process uses; nil if there is no other
-	// process. It must not block.
+	// UsedElsewhere returns how many of the sockets another process uses; nil if there can be no
+	// other process. It must not block.
 	UsedElsewhere func() int
 }
 
@@ -67,9 +67,9 @@
 	capacitySignal  chan struct{} // holds one signal: a client has ended, or its linger may be interrupted
 
 	mu             sync.Mutex              // guards the fields below, and limits.Sockets
-	accepting      bool                    // Serve is running
+	accepting      bool                    // set when Serve starts, cleared when a permanent drain begins
 	draining       bool                    // by LameDuck or permanently
-	shuttingDown   bool                    // draining permanently: nothing is accepted or adopted
+	shuttingDown   bool                    // draining permanently: no session is adopted
 	rejectUnread   bool                    // new clients are rejected before their first line is read
 	rejectAt       time.Time               // while draining: requests are rejected from then on
 	drainEndAt     time.Time               // end of the plan of the permanent drain
--- a/internal/lineproto/codec.go
+++ b/internal/lineproto/codec.go
@@ -21,7 +21,8 @@
 	return busyKeyword
 }
 
-// Failed returns the answer to a failed request, which promises nothing about it.
+// Failed returns the answer to a failed request. Unlike Busy, it does not promise the client that
+// repeating the request is safe.
 func (Codec) Failed() string { return Error }
 
 // Move returns the line that asks the client to reconnect.
--- a/internal/lineproto/reply.go
+++ b/internal/lineproto/reply.go
@@ -59,8 +59,8 @@
 	return ParseLoadReport(rest)
 }
 
-// ParseLoadReport parses a load report. It accepts each field under the name in the site's
-// report.fields setting and under the protocol's own name, as a parser of only one spelling would
+// ParseLoadReport parses a load report. It knows two fixed names of a field, the protocol's own and
+// the one that the platform's settings list in report.fields, as a parser of only one name would
 // silently lose fields. Unknown names are ignored. An empty text is an empty report; a value that
 // is not a number of 0 or more is an error.
 func ParseLoadReport(text []byte) (balance.LoadReport, error) {
--- a/internal/proxy/clientreader.go
+++ b/internal/proxy/clientreader.go
@@ -38,8 +38,8 @@
 		upstream.InterruptRead()
 		return
 	}
-	// The upstream's connection has ended. The relay to the client detects that too, and Run then
-	// sets a deadline for this read.
+	// The session is ending: one of the two connections has ended, or there was no UP. Run ends too,
+	// and closeBoth then sets a deadline for this read.
 	s.client.DiscardInput()
 }
 
--- a/internal/proxy/life.go
+++ b/internal/proxy/life.go
@@ -89,8 +89,8 @@
 // closed.
 func (s *Session) EndAttempt() { s.lockAndApply(lifecycle.AttemptEnded) }
 
-// MaySend returns whether an attempt may be sent. It must be called immediately before the first
-// byte of the attempt is written, with the current time.
+// MaySend returns lifecycle.None if an attempt may be sent, and otherwise the reason why not. It
+// must be called immediately before the first byte of the attempt is written, with the current time.
 func (s *Session) MaySend(now time.Time, attempt lifecycle.Attempt) lifecycle.Refusal {
 	attempt.ClientHasLeft = s.ClientHasLeft()
 	s.mu.Lock()
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -16,7 +16,7 @@
 const (
 	// answerTimeout is how long an upstream may leave a client's line unanswered before the client
 	// is migrated. Healthy upstreams answer within a millisecond or two; clients write every 2 s,
-	// and must be moved off a dead connection within 7 s.
+	// and must be migrated from a dead connection within 7 s.
 	answerTimeout = 1500 * time.Millisecond
 	// answerGracePeriod is a further wait before an upstream counts as silent. After a pause of
 	// this process its read deadlines have passed although the answers wait in the sockets, and it
--- a/internal/proxy/resumption.go
+++ b/internal/proxy/resumption.go
@@ -11,8 +11,8 @@
 	// StartLine returns the line that starts the stream at an upstream that answered with the line
 	// up; empty if that upstream does not support one. It may block, but not beyond the end of ctx.
 	StartLine(ctx context.Context, up string) string
-	// Observe is called with each line of the upstream, other than load reports, MOVE and BYE,
-	// before the line is written to the client.
+	// Observe is called with each line of the upstream after UP, other than load reports, MOVE and
+	// BYE, before the line is written to the client.
 	Observe(line []byte)
 	// Token returns the token that the client has to present when it reconnects; empty if there is
 	// none. All observed lines are written to the client before the token.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -135,10 +135,11 @@
 // maySend reports whether the first line may be sent, and the reason if not. It is called right
 // before the first byte is written, as the dial may have taken long and things may have changed:
 // the client may have left without the connection having been closed yet, the endpoint may have
-// started to drain, or the deadline may have passed, which for a request that may have run before
-// is no later than the end of its retry window. An endpoint that holds the session already is sent
-// the line even while it drains. The drain grace is deliberately not used here: it is reserved for
-// a delay between this check and the write, and another endpoint can take the request at once.
+// started to drain, the list's lease may have expired, or the deadline may have passed. The
+// deadline of a request that may have run before is no later than the end of its retry window. An
+// endpoint that holds the session already is sent the line even if it drains or the lease has
+// expired. The drain grace is deliberately not used here: it is reserved for a delay between this
+// check and the write, and another endpoint can take the request at once.
 func (a *attempt) maySend(now time.Time) lifecycle.Refusal {
 	return a.session.MaySend(now, lifecycle.Attempt{
 		Deadline:         a.deadline,
@@ -149,7 +150,8 @@
 }
 
 // auditSend reports an audit violation if the first line was written too long after the deadline,
-// the start of a drain or the end of the list's lease. now is the time after the write.
+// the start of a drain or the end of the list's lease. Only the deadline applies if the endpoint
+// holds the session already. now is the time after the write.
 func (a *attempt) auditSend(now time.Time) {
 	id := a.session.ID
 	if now.After(a.deadline.Add(maxWriteDelay)) {
