--- a/internal/fleet/account/allocate.go
+++ b/internal/fleet/account/allocate.go
@@ -56,8 +56,9 @@
 }
 
 // AllocateEvenShare returns the lease of a member that has had no contact with the replicated log for
-// HolderTimeout, or that sees half of the fleet or less: its even share of each limit, with the holder
-// count of its previous lease.
+// HolderTimeout, or that sees half of the fleet or less: its even share of each limit. The rank and the
+// holder count come from previous: the member's previous lease or, if it has none or sees half of the
+// fleet or less, a QuotaLease with a holder count of at least FleetSize.
 func AllocateEvenShare(
 	now time.Duration, cfg LeaseConfig, state State, ownUsage Usage, previous QuotaLease,
 ) QuotaLease {
--- a/internal/fleet/account/grants.go
+++ b/internal/fleet/account/grants.go
@@ -19,8 +19,8 @@
 	return err
 }
 
-// findGrant returns the suitable grant of a key that covers a path; if there are several, the one with
-// the least path. It returns nil for the root key, which needs no grant. Only the root key may act on
+// findGrant returns the suitable grant of a key that covers a path; if there are several, the one whose
+// path sorts first. It returns nil for the root key, which needs no grant. Only the root key may act on
 // the empty path, which is the parent of all accounts. The error contains the permission.
 func (s State) findGrant(key, path string, isSuitable func(*Grant) bool, permission string) (*Grant, error) {
 	if s.isRootKey(key) {
--- a/internal/fleet/account/lease.go
+++ b/internal/fleet/account/lease.go
@@ -9,8 +9,9 @@
 	epochStep = 2 * time.Millisecond // makes half an epoch a whole number of milliseconds
 )
 
-// millionthsPerToken is the number of millionths in one token. Fractions of tokens that are carried to
-// a later half epoch or epoch are computed in millionths.
+// millionthsPerToken is the number of millionths in one token. The tokens of an epoch are computed in
+// millionths before they become whole tokens: a limit is in thousandths of a token per second, and an
+// epoch in thousandths of a second.
 const millionthsPerToken = 1e6
 
 // LeaseConfig configures the allocation of limits. All members must have the same LeaseConfig.
@@ -64,8 +65,8 @@
 	HolderCount int                `json:"of"`    // number of lease holders
 }
 
-// epochTokens returns the tokens of a limit for an epoch. The fractional part of a token is the
-// fraction of epochs in which the result is rounded up; a hash selects them.
+// epochTokens returns the tokens of a limit for an epoch, as a whole number. The fractional part of the
+// exact number is the fraction of epochs in which it is rounded up; a hash selects them.
 func (c LeaseConfig) epochTokens(path string, kind int, limit, epoch int64) int64 {
 	millionths := mulDiv(limit, c.Epoch.Milliseconds(), 1)
 	tokens := millionths / millionthsPerToken
@@ -76,7 +77,7 @@
 }
 
 // evenTokens returns the tokens of the even share of one holder, given by its rank among count, for one
-// half epoch. The tokens of all holders add up to at most half of the tokens of an epoch plus one.
+// half epoch. The tokens of all holders add up to at most one more than half of the epoch's tokens.
 func (c LeaseConfig) evenTokens(limit, halfEpoch int64, rank, count int) int64 {
 	millionths := mulDiv(limit, c.Epoch.Milliseconds()/2, 1)
 	divisor := int64(count) * millionthsPerToken
--- a/internal/fleet/account/totals.go
+++ b/internal/fleet/account/totals.go
@@ -5,7 +5,7 @@
 // subtreeTotals contains the totals of the teams and routes below a node.
 type subtreeTotals struct {
 	sum          limitValues        // limits of the direct children, and the numbers of routes and teams
-	unbounded    [limitKinds]string // least path of the unlimited direct teams
+	unbounded    [limitKinds]string // of the unlimited direct teams, the path that sorts first
 	subtreeCount limitValues        // number of routes and teams in the whole subtree
 }
 
--- a/internal/fleet/account/tree.go
+++ b/internal/fleet/account/tree.go
@@ -37,7 +37,7 @@
 	Limits     Limits      `json:"limits"`
 	Contract   string      `json:"contract,omitempty"`
 	Priority   int         `json:"priority,omitempty"` // ShrinkByPriority reduces highest values first
-	Version    uint64      `json:"version,omitempty"`  // Version of the State that last changed it
+	Version    uint64      `json:"version,omitempty"`  // State.Version at its last change
 }
 
 // Path returns the name of the route in limits, contracts and usage: owner, colon, name.
--- a/internal/fleet/logentry/entry.go
+++ b/internal/fleet/logentry/entry.go
@@ -39,7 +39,7 @@
 // members alone decide changes of zones and of contract allocations, and no other changes.
 type Entry struct {
 	Kind       Kind            `json:"kind"`
-	ProposedBy string          `json:"by"`            // name of the member that received or decided it
+	ProposedBy string          `json:"by"`            // member that an operator sent it to or that decided it
 	ProposedAt int64           `json:"at"`            // Unix ms by the proposer's clock, the only one used
 	Reason     string          `json:"why,omitempty"` // free text for operators
 	KeyName    string          `json:"key,omitempty"` // name of the signing key
--- a/internal/fleet/quota/report.go
+++ b/internal/fleet/quota/report.go
@@ -30,7 +30,8 @@
 	FailedAttempts float64 `json:"failed,omitempty"`
 }
 
-// Report is a member's report. It replaces the member's earlier reports.
+// Report holds one member's usage of endpoints and its recent first attempts and retries. It
+// replaces the member's earlier reports.
 type Report struct {
 	Member        string        `json:"member"`
 	Incarnation   int64         `json:"boot"` // incarnation of the process; a later one replaces all reports
@@ -42,7 +43,8 @@
 	Usages        []Usage       `json:"uses,omitempty"`
 }
 
-// Bounds of reports from other members. A report that exceeds them is rejected.
+// Bounds of what is accepted from other members. A report that exceeds them is rejected; beyond
+// maxMembers, no member is added.
 const (
 	maxEndpoints  = 4096
 	maxMembers    = 1024
--- a/internal/fleet/quota/state.go
+++ b/internal/fleet/quota/state.go
@@ -8,8 +8,9 @@
 // Status is the status of a member according to the membership protocol.
 type Status int
 
-// The statuses of a member. A member that has left no longer holds a lease. A failed member may only
-// be unreachable for this one and still open connections.
+// The statuses of a member. A member that has left no longer holds a lease. A failed member
+// holds its lease for the LeaseTimeout, because it may merely be unreachable from this one and may still
+// open connections.
 const (
 	Alive Status = iota
 	Failed
@@ -98,7 +99,7 @@
 	return names
 }
 
-// RemoveExpired removes the members that have left or have been failed for the LeaseTimeout.
+// RemoveExpired removes the members that have left, or that failed at least a LeaseTimeout ago.
 func (s *State) RemoveExpired(now time.Duration) {
 	for name, current := range s.members {
 		if name != s.self && !s.holdsLease(now, current) {
--- a/internal/fleet/replog/doc.go
+++ b/internal/fleet/replog/doc.go
@@ -9,7 +9,7 @@
 //
 //   - Replica is one member: Open, Run, Propose, View.
 //   - publisher holds the current View and the last committed entries, and notifies waiters.
-//   - transport accepts and dials sealed connections; raftLayer passes raft's to raft.
+//   - transport accepts and dials sealed connections; raftLayer provides raft with its own.
 //   - voterStore persists a voter's raft log, term, vote and snapshot.
 //   - stateFile persists the last known state, for a member that starts with no peer reachable.
 //   - followerClock and upstreamClock bound the age of a heartbeat on arrival.
--- a/internal/fleet/replog/follow.go
+++ b/internal/fleet/replog/follow.go
@@ -93,10 +93,10 @@
 	return slices.Concat(queue, failed), isPreferred
 }
 
-// followUpstream follows one member until the session ends, and reports whether that member
-// has sent a heartbeat within the lease. The error is a *rejectedError if the member has
-// rejected this one, and nil if this one has left an upstream that is not preferred in order
-// to select again.
+// followUpstream follows one member until the session ends. It reports whether that member has
+// sent a heartbeat within the lease, that is, one whose confirmation of the leader was less than
+// a lease old on arrival. The error is a *rejectedError if the member has rejected this one, and
+// nil if this one has left an upstream that is not preferred in order to select again.
 func (r *Replica) followUpstream(ctx context.Context, peer Peer, isPreferred bool) (isFresh bool, err error) {
 	conn, err := r.transport.dial(ctx, peer.Addr, purposeFollow, r.options.peerTimeout()/2)
 	if err != nil {
--- a/internal/fleet/replog/followers.go
+++ b/internal/fleet/replog/followers.go
@@ -106,7 +106,7 @@
 }
 
 // newHeartbeat returns the heartbeat for a view. It acknowledges the follower's last sequence
-// number.
+// number if the view has a confirmation of the leader.
 func (r *Replica) newHeartbeat(view View, clock *upstreamClock) heartbeat {
 	beat := heartbeat{Leader: view.Leader, Path: append(append([]string{}, view.Path...), r.self.Name)}
 	if !view.ConfirmedAt.IsZero() {
--- a/internal/fleet/replog/leadership.go
+++ b/internal/fleet/replog/leadership.go
@@ -20,7 +20,7 @@
 	defer func() { <-confirmationEnded }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { // ends with ctx, or when raft no longer answers
+	go func() { // ends after ctx, once raft has answered a pending call
 		defer close(confirmationEnded)
 		r.confirmLeadership(ctx, raftNode)
 	}()
--- a/internal/fleet/replog/messages.go
+++ b/internal/fleet/replog/messages.go
@@ -69,7 +69,7 @@
 // heartbeat reports the age of the leader's last confirmation; see followerClock.
 type heartbeat struct {
 	Sequence  uint64   `json:"n,omitempty"` // last number received; 0 if there is no confirmation
-	AgeMicros int64    `json:"a"`           // the confirmation's age at its receipt, in µs; negative if later
+	AgeMicros int64    `json:"a"`           // confirmation's age in µs when Sequence came; negative if newer
 	Leader    string   `json:"l,omitempty"` // as known to the sender
 	Path      []string `json:"p"`           // members that relayed it, from the leader to the sender
 }
@@ -108,7 +108,7 @@
 	Error           string   `json:"fault,omitempty"`    // why the action failed; empty on success
 }
 
-// writeMessage writes a message in one call to Write. parts are concatenated to the payload.
+// writeMessage writes a message in one call to Write. The payload is the concatenation of parts.
 func writeMessage(writer io.Writer, kind messageKind, parts ...[]byte) error {
 	size := 0
 	for _, part := range parts {
--- a/internal/fleet/replog/options.go
+++ b/internal/fleet/replog/options.go
@@ -32,7 +32,7 @@
 
 // Options configure a Replica.
 type Options struct {
-	Name          string // unique in the fleet, at most 64 bytes; a voter's name if it is in Voters
+	Name          string // unique in the fleet, at most 64 bytes; a member named in Voters is a voter
 	Zone          string
 	Dir           string           // directory of votes.db and state.db
 	Bind          string           // TCP HOST:PORT to listen on; outgoing connections use its IP address
--- a/internal/fleet/replog/propose.go
+++ b/internal/fleet/replog/propose.go
@@ -13,7 +13,7 @@
 )
 
 // ErrOutcomeUnknown reports a proposal whose answer was lost: its entry may be part of the log
-// or may still become part of it. The state shows the entry once it is applied.
+// or may still become part of it. If it does, the state shows its effect.
 var ErrOutcomeUnknown = errors.New("what became of the entry is not known")
 
 var (
@@ -55,7 +55,7 @@
 		if leaderHint == target.Name {
 			leaderHint = ""
 		}
-		if leaderHint != "" && attempt%4 != 3 { // two voters may name each other as leader
+		if leaderHint != "" && attempt%4 != 3 { // pauses each 4th time: two voters may name each other
 			continue
 		}
 		select {
--- a/internal/fleet/replog/ranking.go
+++ b/internal/fleet/replog/ranking.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// maxFollowers is the number of followers a member serves, in addition to voters.
+// maxFollowers is the maximum number of followers that a member serves, not counting voters.
 const maxFollowers = 8
 
 // hashWeight returns a hash of the parts that is the same on all members.
--- a/internal/fleet/replog/testfleet_test.go
+++ b/internal/fleet/replog/testfleet_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// startFollower starts the follower named f followed by n, on the first voter's IP address.
+// startFollower starts a follower on the first voter's IP address. Its name is f and the number n.
 func startFollower(f *testFleet, n int) *testMember {
 	at := netip.MustParseAddrPort(f.voters[0].Addr)
 	return f.start(fmt.Sprintf("f%d", n), netip.AddrPortFrom(at.Addr(), at.Port()+uint16(n)).String(), nil)
--- a/internal/fleet/replog/transport.go
+++ b/internal/fleet/replog/transport.go
@@ -106,8 +106,9 @@
 	}
 }
 
-// serveConn serves a connection if its peer holds the key. A peer whose first frame is not
-// opened has cost one key derivation, and is disconnected after handshakeTimeout.
+// serveConn serves a connection if its peer holds the key. Until its first frame is opened, a
+// peer costs no more than the derivation of this connection's keys, and it is disconnected
+// after handshakeTimeout.
 func (t *transport) serveConn(ctx context.Context, conn net.Conn, handle connHandler) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
--- a/internal/fleet/replog/view.go
+++ b/internal/fleet/replog/view.go
@@ -22,7 +22,7 @@
 	ConfirmedAt   time.Time       // last time the leader was known to lead, by this process's clock
 	WithinLease   bool            // whether ConfirmedAt is less than a lease ago
 	Role          string          // one of the Role constants
-	Leader        string          // the leader's name; empty if none is known
+	Leader        string          // the last known leader's name; empty if none is known
 	DiskError     string          // why the disk is unusable; empty if it is usable
 	Path          []string        // members that relayed the last heartbeat, from the leader to the upstream
 	FollowerCount int             // followers that this member serves
--- a/internal/fleet/replog/voter.go
+++ b/internal/fleet/replog/voter.go
@@ -63,7 +63,7 @@
 }
 
 // probeDisk checks that the disk accepts the kind of write that a vote may need: newly
-// allocated blocks, at an offset past the end of the store's file.
+// allocated blocks, at an offset equal to the size of the store's file.
 func (r *Replica) probeDisk() error {
 	if err := r.options.InjectFault("probe"); err != nil {
 		return err
--- a/internal/fleet/replog/voterstore.go
+++ b/internal/fleet/replog/voterstore.go
@@ -185,7 +185,8 @@
 	return s.writeErr
 }
 
-// bootstrap writes the log's first configuration and the bootstrap's stores in one transaction.
+// bootstrap writes the log's first configuration, its term, and the IDs of the stores that the
+// fleet is bootstrapped with, in one transaction.
 func (s *voterStore) bootstrap(configuration raft.Configuration, stores storeIDs) error {
 	first := &raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(configuration)}
 	encodedStores, err := json.Marshal(stores)
--- a/internal/fleet/zonestatus/config.go
+++ b/internal/fleet/zonestatus/config.go
@@ -52,10 +52,10 @@
 	// ColdOverloadFactor is the multiple of its current capacity at which an endpoint that is
 	// warming up fails from overload.
 	ColdOverloadFactor float64 `json:"multiple,omitempty"`
-	// EndpointSetupRate is the number of session set-ups per second that a warm endpoint handles.
+	// EndpointSetupRate is the number of session set-ups per second that a warm endpoint can handle.
 	EndpointSetupRate float64 `json:"bears,omitempty"`
-	// StoreSetupRate is the number of session set-ups per second that the session store handles;
-	// 0 means unlimited.
+	// StoreSetupRate is the number of session set-ups per second that the session store can
+	// handle; 0 means unlimited.
 	StoreSetupRate float64 `json:"store,omitempty"`
 	// RampSteps are the shares of the steps of a recovery ramp, in ascending order.
 	RampSteps []float64 `json:"steps,omitempty"`
--- a/internal/fleet/zonestatus/controller.go
+++ b/internal/fleet/zonestatus/controller.go
@@ -10,10 +10,9 @@
 // proposed again.
 const proposalTimeout = time.Second
 
-// Controller proposes changes on the member that leads the replicated log. Beside the replicated
-// state it keeps only how long conditions have held and what it changed or proposed last, so the
-// controller of a new leader can continue from the replicated state. It is not safe for
-// concurrent use.
+// Controller proposes changes on the member that leads the replicated log. It keeps only since when
+// conditions have held and what it changed or proposed last. All else is in the replicated state,
+// so the controller of a new leader can continue from there. It is not safe for concurrent use.
 type Controller struct {
 	DisabledGuards Guards
 
--- a/internal/fleet/zonestatus/evacuate.go
+++ b/internal/fleet/zonestatus/evacuate.go
@@ -11,7 +11,7 @@
 
 // evacuate drafts the evacuations that are due, each zone from all its observing zones at once.
 func (c *Controller) evacuate(view *fleetView, draft *changeDraft) {
-	candidatesByObserver := make([][]int, len(view.zones)) // by observing zone
+	candidatesByObserver := make([][]int, len(view.zones)) // zones to evacuate, by observing zone
 	for to := range view.zones {
 		for _, from := range c.observersToEvacuate(view, draft, to) {
 			candidatesByObserver[from] = append(candidatesByObserver[from], to)
@@ -151,7 +151,7 @@
 }
 
 // finishEvacuations changes Evacuating to Evacuated, or to HeldBack after repeated failures, once
-// the EvacuationTimeout is over and all nodes have received the evacuation.
+// the EvacuationTimeout is over. By then all nodes are expected to have received the evacuation.
 func (c *Controller) finishEvacuations(draft *changeDraft) {
 	var evacuated []string
 	for _, pair := range draft.base.Pairs {
--- a/internal/fleet/zonestatus/evacuate_test.go
+++ b/internal/fleet/zonestatus/evacuate_test.go
@@ -96,7 +96,7 @@
 
 // The change must follow the first evidence within the ConfirmInterval if all zones observe the
 // failure at once, and within twice the ConfirmInterval if one of them observes the zone as
-// degrading.
+// degrading; both plus one step of 100 ms.
 func TestEvacuatesWithinConfirmInterval(t *testing.T) {
 	for _, degrading := range []bool{false, true} {
 		fleet := newTestFleet(t, 3, 2)
--- a/internal/fleet/zonestatus/recovery.go
+++ b/internal/fleet/zonestatus/recovery.go
@@ -47,8 +47,8 @@
 }
 
 // hasRecovered sets ready for the zones from which zone to has seemed recovered for the
-// StableInterval. It reports whether these are enough to start a recovery: at least one that has
-// evacuated the zone, and minReporters in all or as many as have evacuated it, if that is fewer.
+// StableInterval. It reports whether these suffice to start a recovery: at least one of them has evacuated
+// the zone, and their number is at least minReporters or, if lower, the number that have evacuated it.
 func (c *Controller) hasRecovered(view *fleetView, draft *changeDraft, to int, ready []bool) bool {
 	evacuatedObservers, readyObservers, readyOthers := 0, 0, 0
 	for from, observer := range view.zones {
@@ -89,9 +89,9 @@
 }
 
 // recoveryRate returns the number of session set-ups per second that the whole fleet may send to
-// a zone at a step. All endpoints of the zone may start cold at the same time: each one gets half
-// of the rate that would overload it at that stage of its slow start. The other half of the
-// session store's rate is left to the other zones.
+// a zone at a step. All endpoints of the zone may start cold at the same time: each one that is
+// warming up gets half of the rate that would overload it at that stage of its slow start. The
+// rate is at most half of StoreSetupRate, as the other half is left to the other zones.
 func (c *Controller) recoveryRate(view *fleetView, to, step int) float64 {
 	if c.DisabledGuards.RecoveryRamp {
 		return maxRecoveryRate
--- a/internal/fleet/zonestatus/report.go
+++ b/internal/fleet/zonestatus/report.go
@@ -16,12 +16,12 @@
 // within seconds.
 type Observation struct {
 	Zone           string  `json:"to"`
-	Endpoints      int     `json:"servers"`         // that are ready according to the member's endpoint list
+	Endpoints      int     `json:"servers"`         // endpoints that are ready in the member's endpoint list
 	Failing        int     `json:"bad"`             // endpoints that failed most of their recent attempts
 	Attempted      int     `json:"tried,omitempty"` // endpoints with a recent attempt; 0 stands for all
 	Attempts       float64 `json:"asked"`           // attempted sessions and failed health checks
 	FailedAttempts float64 `json:"failed"`
-	Load           float64 `json:"load"` // mean load over capacity, as reported; -1 if unknown
+	Load           float64 `json:"load"` // mean ratio of load to capacity that endpoints report; -1 if none
 	WarmingUp      int     `json:"cold"` // endpoints in slow start
 }
 
@@ -84,8 +84,8 @@
 	return float64(o.Failing) / float64(max(o.Endpoints, 1))
 }
 
-// isConclusive reports whether the member made at least MinAttempts attempts and reached at least
-// half of the endpoints with them.
+// isConclusive reports whether the member made at least MinAttempts attempts, on at least half of
+// the endpoints.
 func (o *Observation) isConclusive(cfg *Config) bool {
 	return o.Endpoints > 0 && o.Attempts >= cfg.MinAttempts && (o.Attempted == 0 || 2*o.Attempted >= o.Endpoints)
 }
--- a/internal/fleet/zonestatus/status.go
+++ b/internal/fleet/zonestatus/status.go
@@ -37,9 +37,9 @@
 	From      string  `json:"from"`
 	To        string  `json:"to"` // a zone; a region is set zone by zone in one change
 	Status    Status  `json:"posture"`
-	Share     float64 `json:"share"`           // fraction of its usual traffic that From sends to To, 0 to 1
+	Share     float64 `json:"share"`           // fraction of From's usual traffic to To, 0 to 1
 	Step      int     `json:"step,omitempty"`  // of the recovery ramp, counted from 1
-	Rate      float64 `json:"rate,omitempty"`  // session set-ups per second of the whole fleet
+	Rate      float64 `json:"rate,omitempty"`  // set-ups per second of the whole fleet; Recovering only
 	ChangedAt int64   `json:"since"`           // Unix ms by the proposer's clock
 	HeldUntil int64   `json:"until,omitempty"` // Unix ms; no recovery starts before
 	Failures  int     `json:"fails,omitempty"` // recent evacuations of the pair
