--- a/internal/fleet/quota/allocate_test.go
+++ b/internal/fleet/quota/allocate_test.go
@@ -113,7 +113,7 @@
 				state.SetMemberStatus(fleet.now, "n3", Left)
 			}
 		}, 9},
-		{"one failed before the lease timeout", func(fleet *testFleet) {
+		{"one failed a lease timeout ago", func(fleet *testFleet) {
 			for _, state := range fleet.states[:3] {
 				state.SetMemberStatus(fleet.now-cfg.LeaseTimeout, "n3", Failed)
 			}
